--- a/packages/puffinarch/src/types/cellPorts.ts
+++ b/packages/puffinarch/src/types/cellPorts.ts
@@ -1,11 +1,11 @@
 /**
- * Ports of a shard's scheduler: the store of rows, the workers with fencing tokens, the advisor and the other daemons.
- * Adapters implement them; tests pass fakes.
+ * Ports of a shard's scheduler: the row store, the workers (whose orders carry fencing tokens), the advisor and the other daemons
+ * of the cell. Adapters implement these interfaces; tests pass fakes.
  */
 
 import type { CellConfiguration, JobFailure, JobReference, JobState, JobSubmission } from "./work.js";
 
-/** A row of the store. Versions come from one counter that grows with each transaction. */
+/** A row of the store. Its version comes from one counter for the whole store, which grows with each transaction. */
 export interface Row {
     readonly table: string;
     readonly part: string;
@@ -15,73 +15,91 @@
     readonly version: number;
 }
 
-/** Names a row. */
+/** Identifies a row. */
 export interface RowKey {
     readonly table: string;
     readonly part: string;
     readonly key: string;
 }
 
-/** Demands that a row has this version; 0 demands that there is none. */
+/** Condition of a transaction: the row must have this version, or must not exist where the version is 0. */
 export interface RowExpectation extends RowKey {
     readonly version: number;
 }
 
-/** All of it takes effect, or nothing; one part, at most `maxRowsPerTransaction` entries. */
+/** An atomic transaction on rows of one part. The store accepts at most 100 entries and 1 MB in one transaction. */
 export interface RowTransaction {
     readonly expect: readonly RowExpectation[];
     readonly puts: readonly (RowKey & { readonly value: string; })[];
     readonly removes: readonly RowKey[];
 }
 
-/** `refused`: surely no effect. `unknown`: it took effect, or still may. */
+/**
+ * Result of a transaction. `conflict`: a condition did not hold; nothing was written, and `rows` holds the current rows. `refused`:
+ * nothing was or will be written. `unknown`: it may have taken effect, or may still do so.
+ */
 export type RowTransactResult =
     | { readonly outcome: "committed"; readonly version: number; }
     | { readonly outcome: "conflict"; readonly rows: readonly Row[]; }
     | { readonly outcome: "refused" | "unknown"; readonly reason: string; };
 
-/** Rows of one part as of a single moment. */
+/** A consistent snapshot of rows of one part. */
 export interface RowPage {
     readonly rows: readonly Row[];
+    /** True where the part has further rows after these. */
     readonly more: boolean;
-    /** Newest version of the store at that moment. */
+    /** Newest version of the store at the time of the snapshot. */
     readonly version: number;
 }
 
-/** Changes of a table since a version; `historyLost` where they are no longer known. */
+/** Changes of a table since a version; `historyLost` where the store no longer keeps all of them. */
 export type RowChanges =
     | { readonly kind: "changes"; readonly rows: readonly Row[]; readonly version: number; }
     | { readonly kind: "historyLost"; };
 
-/** The platform's transactional store of rows. Reads fail with the kind `unavailable`. */
+/** The platform's transactional row store. `read` and `changes` fail with the kind `unavailable`. */
 export interface RowStore {
-    /** Without an answer within `timeoutMs` the outcome is unknown. */
+    /** The outcome is `unknown` where no answer arrives within `timeoutMs`. */
     transact(transaction: RowTransaction, timeoutMs: number): Promise<RowTransactResult>;
     /**
-     * Keys in ascending order, from `fromKey` on, at most `limit` of them; the store has a limit of its own. `longestMs` is how long
-     * an answer may take while it keeps coming, which is as long as the store may be silent where it is left out.
+     * Reads rows in ascending order of their keys, starting at `fromKey`: at most `limit`, and no more than the store's own page size.
+     * `longestMs` limits the whole answer as long as pieces of it keep arriving; where it is left out, the limit is the adapter's
+     * timeout for a silent store.
      */
     read(table: string, part: string, fromKey?: string, limit?: number, longestMs?: number): Promise<RowPage>;
-    /** Waits up to `waitMs` for a change after `version`. */
+    /** Long poll: waits up to `waitMs` for a change after `version`. */
     changes(table: string, version: number, waitMs: number): Promise<RowChanges>;
 }
 
-/** Order to start one attempt at a task. `deadlineMs` is on the worker's own clock. */
+/** Order to a worker to start a run, which is one attempt at a task. */
 export interface RunOrder {
     readonly taskName: string;
+    /** Number of the attempt; it increases with each attempt at the task. */
     readonly run: number;
     readonly payload: string;
+    /** End of the lease of the worker's runs, on the worker's own clock; an order that arrives after it is refused as `late`. */
     readonly deadlineMs: number;
     readonly fencingToken: number;
-    /** Empty to begin anew. */
+    /** Saved progress to resume from; empty to start from the beginning. */
     readonly checkpoint: string;
     /** Proof that the advisor allows the step on this worker; empty where none is needed. */
     readonly ticket: string;
 }
 
 /**
- * How a worker answered an order. `stale`: a run as high was stopped or ended there. `otherIncarnation`: the worker that the
- * order named is over. `unhealthy`: nothing was done. `unknown`: it may be carried out, now or later.
+ * How a worker answered an order:
+ * - `done`: carried out, now or by an earlier copy of the order.
+ * - `fenced`: the worker has received a higher fencing token.
+ * - `stale`: a run of the task with this or a higher number was already started, stopped or ended there.
+ * - `late`: the deadline had passed.
+ * - `noRoom`: the worker lacks the capacity.
+ * - `badTicket`: the ticket does not allow the step on this incarnation of the worker.
+ * - `invalid`: the order is malformed or names something that does not exist.
+ * - `unhealthy`: the worker takes no orders at present.
+ * - `otherIncarnation`: the addressed incarnation of the worker no longer exists.
+ * - `unknown`: the order may have been carried out, or may still be.
+ *
+ * With any outcome other than `done` and `unknown`, the order had no effect.
  */
 export const orderOutcomes = {
     done: "done",
@@ -98,18 +116,21 @@
 /** One of `orderOutcomes`. */
 export type OrderOutcome = (typeof orderOutcomes)[keyof typeof orderOutcomes];
 
-/** An attempt that runs on a worker. */
+/** A run in progress, as its worker lists it. */
 export interface RunningRun {
     readonly taskName: string;
     readonly run: number;
     readonly checkpoint: string;
-    /** Share at which it works; 100 unless it was paced. */
+    /** Share of time in percent for which it may use its processors; 100 unless `pace` reduced it. */
     readonly percent: number;
-    /** Rough figure of the last half second: latency in ms for a serving task, thousandths of a core for others. */
+    /** Approximate measurement over the last 500 ms: latency in ms for a serving task, thousandths of a core used for others. */
     readonly figure: number;
 }
 
-/** How a run ended on its worker. */
+/**
+ * How a run ended on its worker. `stopped`: by an order. `lapsed`: its lease ran out. `broken`: another member of its gang ended
+ * without completing. `alone`: the other members of its gang did not start in time.
+ */
 export const runEnds = {
     done: "done",
     failed: "failed",
@@ -121,8 +142,9 @@
 /** One of `runEnds`. */
 export type RunEnd = (typeof runEnds)[keyof typeof runEnds];
 
-/** A run that ended; the worker lists it until its number is acknowledged. */
+/** A run that ended; the worker lists it until its `endNumber`, or a higher one, is acknowledged. */
 export interface EndedRun {
+    /** Position in the worker's sequence of ends; each incarnation counts from the start. */
     readonly endNumber: number;
     readonly taskName: string;
     readonly run: number;
@@ -130,138 +152,155 @@
     readonly checkpoint: string;
 }
 
-/** What a worker shows of itself. */
+/** Answer to a look: the worker's clock, its current runs and the ends not yet acknowledged. */
 export type LookResult =
     | {
         readonly outcome: "done";
+        /** Reading of the worker's own clock. */
         readonly clockMs: number;
-        /** When the incarnation that answers began, as in its `WorkerEntry`; undefined where it does not say. */
+        /** Start time of the answering incarnation, as in its `WorkerEntry`; undefined where the worker does not report it. */
         readonly bornAtMs?: number;
         readonly running: readonly RunningRun[];
         readonly ended: readonly EndedRun[];
     }
     | {
         readonly outcome: Exclude<OrderOutcome, "done">;
-        /** The connection was refused or closed, as by a process that has ended; a cut link only lets the look time out. */
+        /** True where the connection was refused or closed, as by an ended process. A network partition only causes a timeout. */
         readonly connectionLost?: boolean;
     };
 
-/** Raises the fencing token, renews every lease, acknowledges ends and waits up to `waitMs` for an end. */
+/**
+ * A look: a long poll of one worker. It raises the worker's fencing token, renews the leases of all its runs, acknowledges ends
+ * and returns once a run ends or `waitMs` have passed.
+ */
 export interface LookOrder {
     readonly fencingToken: number;
+    /** Highest `endNumber` that is durable at the owner: the worker drops ends up to it. 0 acknowledges none. */
     readonly acknowledgedEnd: number;
-    /** On the worker's own clock; undefined renews nothing. */
+    /** New end of the leases, on the worker's own clock; undefined renews none. */
     readonly deadlineMs?: number;
-    /** How long the answer may wait for an end. */
+    /** How long the worker may delay its answer until a run ends. */
     readonly waitMs: number;
-    /** How much longer than that it may take before the look counts as unanswered. */
+    /** Time beyond `waitMs` after which the look counts as unanswered. */
     readonly patienceMs: number;
 }
 
-/** A worker's id and address. Whichever incarnation is there under the id takes the order. */
+/** A worker's id and address. Any incarnation of the worker that uses this id accepts the order. */
 export interface WorkerTarget {
     readonly workerId: string;
     readonly address: string;
 }
 
-/** Stops one run. */
+/** Order to stop one run, or the run that a `pace` order applies to. */
 export interface RunStop {
     readonly taskName: string;
     readonly run: number;
     readonly fencingToken: number;
 }
 
-/** Orders to workers. No call rejects: what is not known is `unknown`. */
+/** Orders to workers. No call rejects: a call without an answer resolves with the outcome `unknown`. */
 export interface FencedWorkerPort {
-    /** Without an answer within `timeoutMs` the outcome is unknown. */
+    /** The outcome is `unknown` where no answer arrives within `timeoutMs`. */
     start(target: WorkerTarget, order: RunOrder, timeoutMs: number): Promise<OrderOutcome>;
+    /** The outcome is `unknown` where no answer arrives within `timeoutMs`. */
     stop(target: WorkerTarget, order: RunStop, timeoutMs: number): Promise<OrderOutcome>;
     look(target: WorkerTarget, order: LookOrder): Promise<LookResult>;
-    /** Limits the share of time that a run works, 0 to 100 percent. */
+    /** Limits the share of time for which a run may use its processors, in percent from 0 to 100. */
     pace(target: WorkerTarget, order: RunStop & { readonly percent: number; }): Promise<OrderOutcome>;
 }
 
-/** Asks which workers may run a step. */
+/** Asks the advisor which of these workers may run a step. */
 export interface AdviceRequest {
-    /** Job, occurrence and step, as in a task's name without its index. */
+    /** Job, occurrence and step: a task's name without its index. */
     readonly stepName: string;
     readonly workerIds: readonly string[];
     readonly timeoutMs: number;
 }
 
-/** Workers that may run the step, each with the ticket to show. */
+/** Answer of the advisor. */
 export interface AdviceAnswer {
+    /** Workers that may run the step, each with the ticket that its start orders must carry. */
     readonly good: readonly { readonly workerId: string; readonly ticket: string; }[];
+    /** How long the tickets are valid. */
     readonly validMs: number;
 }
 
-/** The advisor; it serves one call at a time for each calling VM. Fails with `unavailable`. */
+/** The advisor; it processes one call at a time for each calling VM. Fails with the kind `unavailable`. */
 export interface AdvisorPort {
     advise(request: AdviceRequest): Promise<AdviceAnswer>;
 }
 
-/** A daemon as it entered itself in the store. */
+/** A daemon's entry in the store, written by the daemon itself. */
 export interface MemberRow {
     readonly memberId: string;
-    /** Where its peers reach it. */
+    /** Address for calls from its peers. */
     readonly address: string;
     readonly dataCentre: string;
-    /** Differs after each start of the process. */
+    /** A new value for each start of the process. */
     readonly incarnation: string;
     /**
-     * Processor time and network of its VM, as a share of what the owner of a whole shard uses at its peak; undefined in
-     * rows of an earlier version.
+     * Processor time and network of its VM, as a share of what the owner of a whole shard uses at its peak, at most 1; undefined in rows
+     * that an earlier version wrote.
      */
     readonly strength?: number;
 }
 
-/** Who owns a shard; the row's version is the fencing token. */
+/** The owner of a shard; the row's version is the owner's fencing token. */
 export interface OwnerRow extends MemberRow {
-    /** Tells this claim from all others, so that a lost answer can be settled. */
+    /** Unique to this claim: a claimant whose write went unanswered recognises its own row by it. */
     readonly claimId: string;
-    /** Owners right before this one that were each replaced as silent or stalled soon after their claim; none where it is left out. */
+    /**
+     * Number of owners that were replaced as silent, stalled or slow in the unbroken series of short-lived owners before this one; 0
+     * where it is left out. Each of them doubles, up to a factor of 8, the time for which this owner may be silent or stalled before it
+     * is replaced.
+     */
     readonly shortOffices?: number;
 }
 
-/** An owner as its row says, with the row's version, which is its fencing token. */
+/** An owner's row with its version, which is the owner's fencing token. */
 export interface KnownOwner {
     readonly row: OwnerRow;
     readonly version: number;
 }
 
-/** A daemon's health check of its peer. */
+/** A health check of one daemon by another. */
 export interface PingRequest {
+    /** Id of the caller. */
     readonly from: string;
-    /** Version of the newest owner's row that the caller knows; 0 for none. */
+    /** Version of the newest owner row that the caller has; 0 for none. */
     readonly ownerVersion: number;
 }
 
-/** Answer of a daemon to its peer's health check. */
+/** Answer to a health check. */
 export interface PingAnswer {
     readonly incarnation: string;
-    /** Fencing token of the shard that it owns; 0 for none. */
+    /** Fencing token of the shard that it owns or is restoring; 0 for none. */
     readonly ownedToken: number;
-    /** Its claim under way: it may own the shard by the store's word and not know it yet. */
+    /** Its claim in progress: the claim may have been committed although the store's answer has not arrived yet. */
     readonly claimId?: string;
-    /** Milliseconds for which its commits have found no answer; 0 where all is well. */
+    /** Milliseconds for which its commit in progress has waited for the store; 0 where none is in progress. */
     readonly storeStalledMs: number;
+    /** Version of the configuration in force there; 0 for none. */
     readonly configurationVersion: number;
-    /** Jobs accepted of which no task has started, by queue; undefined where it owns no shard, or still restores it. */
+    /**
+     * Number of accepted jobs by queue of which no task has started, scheduled jobs aside; undefined where the daemon owns no shard or
+     * is still restoring it.
+     */
     readonly pending?: Readonly<Record<string, number>>;
-    /** Token of the owner that this daemon had an answer from within the last moments; 0 for none. */
+    /** Fencing token of the owner that has recently answered this daemon; 0 for none. */
     readonly seenOwnerToken: number;
-    /** It is about to stop, and claims no shard any more. */
+    /** True where it is about to stop and no longer claims a shard. */
     readonly leaving: boolean;
-    /** How late its timers are, while it owns the shard. */
+    /** Average delay of its timers while it owns the shard; 0 otherwise. */
     readonly lagMs: number;
-    /** A newer owner's row than the caller knows: the store may have turned the caller away. */
+    /** Set where the answering daemon has a newer owner row than the caller, which may be unable to reach the store. */
     readonly newerOwner?: KnownOwner;
 }
 
-/** Why an owner gives its shard to a peer: it stops, its VM has turned slow, or it is weaker than others. */
+/** Why an owner hands its shard to a peer: its process stops, its VM has become slow, or its VM has less capacity than others. */
 export type HandOverReason = "leaving" | "slow" | "weak";
 
-/** Calls between the daemons of a cell: what goes in and what comes out. */
+/** Calls between the daemons of a cell, by name, with their input and output. */
 export interface MemberCalls {
     readonly ping: { readonly input: PingRequest; readonly output: PingAnswer; };
     readonly submit: { readonly input: JobSubmission; readonly output: { readonly accepted: true; }; };
@@ -269,13 +308,14 @@
         readonly input: JobReference;
         readonly output: { readonly state: JobState | undefined; readonly failure?: JobFailure | undefined; };
     };
+    /** `known` is false where the caller has no such job. */
     readonly cancelJob: {
         readonly input: JobReference;
         readonly output: { readonly known: boolean; };
     };
     readonly advise: { readonly input: AdviceRequest; readonly output: AdviceAnswer; };
     readonly configuration: { readonly input: { readonly from: string; }; readonly output: CellConfiguration; };
-    /** Asks the daemon to claim the shard from the caller; former versions give no reason. */
+    /** Asks the daemon to claim the shard from the caller, its owner. Callers of an earlier version leave out `why`. */
     readonly handOver: {
         readonly input: { readonly token: number; readonly why?: HandOverReason; };
         readonly output: { readonly claimed: boolean; };
@@ -291,8 +331,8 @@
 };
 
 /**
- * Calls to other daemons. Fails with `unavailable` where the call surely was not delivered, with `mayHaveRun` where no
- * answer came, and with the peer's own kind where it answered with an error.
+ * Calls to other daemons. Fails with the kind `unavailable` where the call was certainly not delivered, with `mayHaveRun` where no
+ * answer arrived, and with the peer's error kind where it answered with an error.
  */
 export interface MemberPort {
     call<K extends MemberCallName>(
@@ -300,7 +340,7 @@
         name: K,
         input: MemberCalls[K]["input"],
         timeoutMs: number,
-        /** How long an answer may take while it keeps coming; `timeoutMs` where it is left out. */
+        /** Limit for the whole answer as long as pieces of it keep arriving; `timeoutMs` where it is left out. */
         longestMs?: number,
     ): Promise<MemberCalls[K]["output"]>;
 }
--- a/packages/puffinarch/src/types/upkeep.ts
+++ b/packages/puffinarch/src/types/upkeep.ts
@@ -1,21 +1,21 @@
-/** Upkeep of the VMs under the workers: what the operator asks for, and the platform's calls. */
+/** Upkeep, which is planned maintenance of the VMs that the workers run on: the operator's requests and the platform's calls. */
 
-/** A request that each of these VMs has its upkeep in time, with few of them down at once. */
+/** The operator's request for the upkeep of a set of VMs. */
 export interface UpkeepWave {
     readonly number: number;
     readonly vmIds: readonly string[];
-    /** Milliseconds from the request to the time by which all must have begun. */
+    /** Time from the request until the upkeep of every VM must have begun. */
     readonly deadlineMs: number;
-    /** Most VMs of the wave that may be down for it at once. */
+    /** Maximum number of VMs of the wave that may be down for upkeep at the same time. */
     readonly atOnce: number;
 }
 
-/** States of a wave as the operator is shown them. */
+/** States of a wave, as reported to the operator. */
 export const waveStates = { running: "running", completed: "completed" } as const;
 /** One of `waveStates`. */
 export type WaveState = (typeof waveStates)[keyof typeof waveStates];
 
-/** States of a VM. */
+/** States of a VM; only one that is `up` accepts an upkeep order. */
 export const vmStates = { up: "up", moving: "moving", upkeep: "upkeep", down: "down" } as const;
 /** One of `vmStates`. */
 export type VmState = (typeof vmStates)[keyof typeof vmStates];
@@ -24,21 +24,24 @@
 export interface VmEntry {
     readonly vmId: string;
     readonly state: VmState;
-    /** The worker that is its present incarnation; empty for none. */
+    /** Id of the worker that runs on it; empty for none. */
     readonly workerId: string;
 }
 
-/** Orders the upkeep of one VM, which ends all that runs there. */
+/** Order to begin the upkeep of one VM, which ends all its running tasks. */
 export interface UpkeepOrder {
     readonly vmId: string;
+    /** Number of the wave. */
     readonly wave: number;
+    /** Id of the daemon that owns the shard. */
     readonly holderId: string;
     readonly fencingToken: number;
 }
 
 /**
- * How the platform answered. `done`: it has begun, now or earlier. `busy`: the VM is not up, or leaves. `unknown`: it may
- * begin, now or later.
+ * How the platform answered an upkeep order. `done`: the upkeep has begun, through this order or an earlier copy of it. `fenced`: the
+ * platform has received a higher fencing token. `busy`: the VM is not up, or is about to leave. `invalid`: the order does not match
+ * the wave or the VM. `refused`: the platform takes no order at present. `unknown`: the upkeep may have begun, or may still begin.
  */
 export const upkeepOutcomes = {
     done: "done",
@@ -51,10 +54,10 @@
 /** One of `upkeepOutcomes`. */
 export type UpkeepOutcome = (typeof upkeepOutcomes)[keyof typeof upkeepOutcomes];
 
-/** The platform's calls for VMs. */
+/** The platform's calls for the VMs that workers run on. */
 export interface VmPort {
-    /** All VMs; fails with `unavailable`. */
+    /** Lists all VMs; fails with the kind `unavailable`. */
     list(): Promise<readonly VmEntry[]>;
-    /** Never rejects: what is not known is `unknown`. */
+    /** Never rejects: an order without an answer resolves with `unknown`. */
     upkeep(order: UpkeepOrder): Promise<UpkeepOutcome>;
 }
--- a/packages/puffinarch/src/types/work.ts
+++ b/packages/puffinarch/src/types/work.ts
@@ -1,71 +1,78 @@
-/** Jobs of several steps, the queues that take them, and the workers that run their tasks. */
+/** Jobs made of steps, the queues that they are submitted to, and the workers that run their tasks. */
 
 import type { Resources } from "./resources.js";
 
-/** One step of a job: equal tasks that may start once the steps before it are done. */
+/** One step of a job: identical tasks, which may start once the steps in `after` are done. */
 export interface Step {
     /** Number of tasks. */
     readonly count: number;
-    /** What each task needs. */
+    /** Resources that each task needs. */
     readonly size: Resources;
-    /** The caller's rough estimate of a task's run time; 0 for none. */
+    /** The caller's estimate of a task's run time; 0 for none. */
     readonly estimateMs: number;
     /** Numbers of earlier steps whose tasks must all be done first. */
     readonly after: readonly number[];
-    /** True where a task saves its progress, so that a later attempt can resume. */
+    /** True where tasks save checkpoints from which a later attempt can resume. */
     readonly checkpointing: boolean;
-    /** True where all tasks work only together, under one run number. */
+    /** True for gang scheduling: the tasks run only all at the same time, and their attempts share one run number. */
     readonly gang: boolean;
-    /** True where tasks run slower on more than one rack. */
+    /** True where the tasks run slower when they are spread over several racks. */
     readonly colocated: boolean;
     /** A label that the worker must have; empty for any worker. */
     readonly requiredLabel: string;
-    /** Rack near the data; empty for none. */
+    /** Preferred rack, which is close to the step's data; empty for none. */
     readonly dataRack: string;
-    /** Most tasks of the step on one worker; 0 for no limit. */
+    /** Maximum number of the step's tasks on one worker; 0 for no limit. */
     readonly maxPerWorker: number;
-    /** True where copies may run in parallel and the first to finish counts. */
+    /** True where a task may run in several copies at once; the first copy to finish decides. */
     readonly speculative: boolean;
     /** True where tasks run until the job is cancelled. */
     readonly longRunning: boolean;
-    /** What the tasks run; tasks of one image behave alike. */
+    /** Image that the tasks run; tasks of the same image are expected to behave alike. */
     readonly image: string;
-    /** Latency objective of the tasks' own users; 0 for none. */
+    /** Latency objective for the requests that the tasks serve; 0 for none. */
     readonly latencyObjectiveMs: number;
-    /** True where tasks run on processors that other tasks leave unused and are not counted against capacity. */
+    /** True for best-effort tasks: they run on processors that other tasks leave idle, and reserve memory and accelerators only. */
     readonly fills: boolean;
-    /** How many tasks of a long-running step may be away at once through the scheduler's own actions. */
+    /**
+     * Disruption budget of a long-running step: the scheduler stops one of its tasks only where at most this many are then down. 0 for
+     * no limit.
+     */
     readonly mayMiss: number;
 }
 
-/** When the steps of a job run: once, or on a schedule. */
+/** When the steps of a job run: once on submission, or repeatedly on a schedule. Each repetition is an occurrence. */
 export interface Schedule {
     /** Due time of occurrence 0, milliseconds since the Unix epoch. */
     readonly startAtMs: number;
+    /** Time between two occurrences. */
     readonly intervalMs: number;
-    /** Number of occurrences; 0 for a job that runs once, at once. */
+    /** Number of occurrences; 0 for a job that runs once, immediately. */
     readonly repeatCount: number;
 }
 
-/** A job as its caller submitted it. The id is the caller's choice, so that a resend is idempotent. */
+/** A job as its caller submitted it. The caller chooses the id, which makes a repeated submission idempotent. */
 export interface JobSubmission {
     readonly jobId: string;
     readonly queueKey: string;
-    /** Name of the organisation that its caller belongs to; empty, or left out, for a caller without one. */
+    /** Organisation of the caller; empty or left out for a caller without one. */
     readonly organisation?: string;
-    /** Where its caller's requests arrive; tasks near it share its fate when the data centre is cut off. */
+    /** Data centre in which the caller's request arrived; tasks placed there stay with the caller when it is cut off from the others. */
     readonly dataCentre: string;
-    /** Opaque text for the tasks. */
+    /** Opaque text that is passed to every task. */
     readonly payload: string;
     readonly steps: readonly Step[];
     readonly schedule: Schedule;
 }
 
-/** A job that a caller asks for. */
+/** Identifies the job that a call is about. */
 export interface JobReference {
     readonly queueKey: string;
     readonly jobId: string;
-    /** Of the caller; empty for one without. A daemon of a former version leaves it out, and asks for whoever it is. */
+    /**
+     * Organisation of the caller; empty for a caller without one. A job that was submitted for an organisation is visible to callers of
+     * that organisation only. Daemons of an earlier version leave it out, which skips this check.
+     */
     readonly organisation?: string;
 }
 
@@ -80,55 +87,60 @@
 /** One of `jobStates`. */
 export type JobState = (typeof jobStates)[keyof typeof jobStates];
 
-/** Why a job was given up. */
+/** Causes for which the scheduler fails a job. */
 export const failureCauses = {
-    /** A task, or a gang, failed as often as it may. */
+    /** A task or gang has used up the failures that its queue allows. */
     attempts: "attempts",
-    /** A task crashed the workers that started it. */
+    /** A task crashed the workers on which it started. */
     crashes: "crashes",
 } as const;
 /** One of `failureCauses`. */
 export type FailureCause = (typeof failureCauses)[keyof typeof failureCauses];
 
-/** What a job that was given up failed by. */
+/** Why a job failed. */
 export interface JobFailure {
     readonly cause: FailureCause;
+    /** The task that caused the failure. */
     readonly taskName: string;
-    /** How often the task failed, or how many workers crashed under it. */
+    /** Number of failures of the task or gang, or number of workers that the task crashed. */
     readonly count: number;
 }
 
-/** A job as callers see it. */
+/** A job's status as callers see it. */
 export interface JobStatus {
     readonly state: JobState;
-    /** Undefined where the job has not failed, or failed under a version that did not say why. */
+    /** Undefined where the job has not failed, or failed under an earlier version that recorded no cause. */
     readonly failure?: JobFailure | undefined;
 }
 
-/** Cost of asking the advisor which workers may run a step. */
+/** Duration of an advisor call and validity of its answer, for the steps of one queue. */
 export interface AdviceTerms {
+    /** Fixed duration of a call. */
     readonly decideMs: number;
+    /** Additional duration for each worker in the request. */
     readonly eachMs: number;
+    /** How long a ticket stays valid. */
     readonly validMs: number;
 }
 
 /** A queue of jobs, as configured. */
 export interface Queue {
-    /** Host and path prefix; the same for as long as the queue exists. */
+    /** Host and path prefix; constant as long as the queue exists. */
     readonly key: string;
     readonly host: string;
     readonly pathPrefix: string;
-    /** Whose workers run the queue's tasks. */
+    /** The service whose workers run the queue's tasks. */
     readonly service: string;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** How often a task, or a gang, may fail. */
+    /** Number of failures of a task or gang at which its job fails. */
     readonly attempts: number;
+    /** Longest time that a caller's request may take; a request may ask for less. */
     readonly timeoutMs: number;
-    /** A job's objective is this many times its longest chain of work, and `targetRuntimeMs` more; 0 for no objective. */
+    /** A job's completion objective is `stretch` times the length of its critical path plus `targetRuntimeMs`; 0 for no objective. */
     readonly stretch: number;
     readonly targetRuntimeMs: number;
-    /** Undefined where every worker of the service may run the queue's steps. */
+    /** Undefined where every worker of the service may run the queue's steps, so that the advisor is not called. */
     readonly advice?: AdviceTerms;
     /** True where callers need no API key. */
     readonly isPublic?: boolean;
@@ -137,48 +149,48 @@
 /** An organisation that shares the service with others, as configured. */
 export interface Organisation {
     readonly name: string;
-    /** Digests of the API keys that its callers send, as `digestKey` gives them. */
+    /** Digests of the API keys that its callers send, as computed by `digestKey`. */
     readonly keyDigests: readonly string[];
-    /** Its share of the service while all of it is in use. */
+    /** Its share of the service while all of it is in use, as a rate: up to `weight` submitted jobs a second are within the share. */
     readonly weight: number;
-    /** The most that it may have running over all workers; an amount of 0 is no limit. */
+    /** Limit on the resources of its running tasks over all workers; an amount of 0 means no limit. */
     readonly cap: Resources;
 }
 
-/** What the operator has put in force; versions only grow. */
+/** A version of the operator's configuration; versions only grow. */
 export interface CellConfiguration {
     readonly version: number;
     readonly queues: readonly Queue[];
-    /** Undefined where callers are not told apart and need no API key. */
+    /** Undefined where callers are not distinguished and need no API key. */
     readonly organisations?: readonly Organisation[];
-    /** Fields that could not be read, by their places; the organisations that they belong to are left out. */
+    /** Paths of fields that could not be decoded; the organisations that contain them are left out. */
     readonly unreadable?: readonly string[];
     readonly maxHeaderBytes: number;
     readonly maxBodyBytes: number;
 }
 
-/** One incarnation of a worker, as the platform lists it. A worker that starts again may have the id that it had. */
+/** One incarnation of a worker, as the platform lists it. A worker that restarts may keep its id. */
 export interface WorkerEntry {
     readonly workerId: string;
     /**
-     * When this incarnation began, in milliseconds since the Unix epoch by a clock that may be stepped: another value is another
-     * incarnation, and a smaller one need not be an earlier one. Undefined where the platform does not say; each incarnation has an id
-     * of its own there.
+     * Start time of this incarnation in milliseconds since the Unix epoch. A different value means a different incarnation, but not
+     * which of the two is later, because the clock may be stepped. Undefined where the platform does not report it; there each
+     * incarnation has an id of its own.
      */
     readonly bornAtMs?: number;
     readonly service: string;
     readonly address: string;
     readonly dataCentre: string;
     readonly draining: boolean;
-    /** Least time left while it drains; undefined while it does not. */
+    /** Minimum time until a draining worker is shut down; undefined for a worker that is not draining. */
     readonly drainRemainingMs?: number;
     readonly capacity: Resources;
     readonly labels: readonly string[];
-    /** Empty where the worker names none. */
+    /** Empty where the rack is unknown. */
     readonly rack: string;
 }
 
-/** Names one task: its job, the occurrence, the step and its place in the step. */
+/** Parts of a task's name: its job, the occurrence of the job, the step, and the task's index within the step. */
 export interface TaskName {
     readonly jobId: string;
     readonly occurrence: number;
@@ -187,7 +199,7 @@
 }
 
 /**
- * Writes a task's name.
+ * Formats a task's name.
  *
  * @example
  * formatTaskName({ jobId: "5c0e7a21d94b36f8", occurrence: 0, step: 1, index: 17 }); // "5c0e7a21d94b36f8.0.1.17"
@@ -196,7 +208,7 @@
     `${jobId}.${occurrence}.${step}.${index}`;
 
 /**
- * Reads a task's name; undefined for anything else.
+ * Parses a task's name; returns undefined for text that is not one.
  *
  * @example
  * parseTaskName("5c0e7a21d94b36f8.0.1.17")?.index; // 17
