--- a/packages/puffinarch/src/types/job.ts
+++ b/packages/puffinarch/src/types/job.ts
@@ -1,4 +1,4 @@
-/** Jobs, their tasks and the attempts at them. */
+/** Jobs, their tasks and the attempts at the tasks. */
 
 import type { Resources } from "./resources.js";
 
@@ -7,7 +7,10 @@
 /** One of `workloadKinds`. */
 export type WorkloadKind = (typeof workloadKinds)[keyof typeof workloadKinds];
 
-/** States that a task goes through; the last four are final. */
+/**
+ * States of a task; the last four are final. `mayHaveRun`: a task that must not start twice was lost after it may have started, so
+ * whether it ran is unknown.
+ */
 export const taskStates = {
     queued: "queued",
     starting: "starting",
@@ -20,12 +23,12 @@
 /** One of `taskStates`. */
 export type TaskState = (typeof taskStates)[keyof typeof taskStates];
 
-/** What a caller submits; `jobId` is the caller's choice, so that a resend is idempotent. */
+/** A job as a caller submits it. The caller chooses `jobId`, which makes a repeated submission idempotent. */
 export interface JobSpec {
     readonly jobId: string;
     readonly workloadClass: string;
     readonly team: string;
-    /** Number of equal tasks. */
+    /** Number of tasks, which are identical. */
     readonly tasks: number;
     readonly taskSize: Resources;
     /** True where a task must never be started a second time. */
@@ -33,16 +36,22 @@
     readonly payload: string;
 }
 
-/** One task as its home knows it. */
+/** One task's state at the home of its job. */
 export interface Task {
     readonly taskId: string;
     readonly jobId: string;
     readonly state: TaskState;
+    /** Number of attempts so far. */
     readonly attempts: number;
+    /** Id of the newest attempt; undefined where it was abandoned or there was none. */
     readonly attemptId?: string;
+    /** Worker of the newest attempt, abandoned or not. */
     readonly workerId?: string;
+    /** Rack of that worker. */
     readonly rackKey?: string;
+    /** Why the newest attempt was abandoned or the task ended; empty where there is no reason. */
     readonly detail: string;
+    /** True where at least one attempt started or may have started. */
     readonly mayHaveStarted: boolean;
     readonly result?: string;
     readonly queuedAtMs: number;
@@ -50,7 +59,7 @@
     readonly endedAtMs?: number;
 }
 
-/** One job as its home knows it. */
+/** One job's state at its home. */
 export interface Job {
     readonly spec: JobSpec;
     readonly homeId: string;
@@ -61,7 +70,10 @@
     readonly taskCounts: Readonly<Partial<Record<TaskState, number>>>;
 }
 
-/** How an attempt ended on its worker. */
+/**
+ * How an attempt ended. `stopped`: by an order. `lapsed`: its lease ran out. `absent`: it is lost, for example with its worker, and
+ * may have run. `notStarted`: it never ran.
+ */
 export const attemptOutcomes = {
     completed: "completed",
     failed: "failed",
@@ -73,18 +85,18 @@
 /** One of `attemptOutcomes`. */
 export type AttemptOutcome = (typeof attemptOutcomes)[keyof typeof attemptOutcomes];
 
-/** Report of an ended attempt, from the owner of a rack to the home of the task. */
+/** Report of an ended attempt, sent by the owner of its rack to the home of its task. */
 export interface AttemptReport {
     readonly attemptId: string;
     readonly taskId: string;
     readonly outcome: AttemptOutcome;
     readonly result: string;
-    /** Saved progress of an attempt that was stopped with a checkpoint; empty otherwise. */
+    /** Progress saved by an attempt that was stopped with a checkpoint; empty otherwise. */
     readonly checkpoint: string;
 }
 
 /**
- * Names a task of a job.
+ * Returns the id of a job's task.
  *
  * @example
  * taskIdOf("load-in-7", 0); // "load-in-7/0"
@@ -92,7 +104,7 @@
 export const taskIdOf = (jobId: string, index: number): string => `${jobId}/${index}`;
 
 /**
- * Gives the job that a task belongs to.
+ * Returns the id of the job that a task belongs to.
  *
  * @example
  * jobIdOf("load-in-7/0"); // "load-in-7"
@@ -107,7 +119,7 @@
 ]);
 
 /**
- * Tells whether a task in this state changes no more.
+ * Returns whether a task state is final.
  *
  * @example
  * isFinal("completed"); // true
--- a/packages/puffinarch/src/types/peer.ts
+++ b/packages/puffinarch/src/types/peer.ts
@@ -1,11 +1,11 @@
-/** Messages between daemons. Every call is answered by the handler of the same name in `core/node.ts`. */
+/** Messages between daemons. The handlers of the calls, which have the same names, are in `core/node.ts`. */
 
 import type { Configuration } from "./configuration.js";
 import type { Decision } from "./decision.js";
 import type { AttemptReport, Job, Task } from "./job.js";
 import type { Resources } from "./resources.js";
 
-/** A task offered to the owner of racks. */
+/** Asks a rack owner to reserve a worker for one attempt at a task. */
 export interface TaskOffer {
     readonly attemptId: string;
     readonly taskId: string;
@@ -14,40 +14,43 @@
     readonly checkpoint: string;
     readonly policy: string;
     readonly priority: number;
-    /** True where the attempt may be stopped to make room for more urgent work. */
+    /** True where the attempt may be stopped in favour of more urgent work. */
     readonly preemptible: boolean;
-    /** How long the task has waited; a long wait earns a worker that is kept free for it. */
+    /** How long the task has waited; after a long wait the owner keeps a worker free for it. */
     readonly waitedMs: number;
-    /** What a worker is kept free for: the task, or the whole gang. */
+    /** Key under which workers are kept free: one for each task, or one for a whole gang. */
     readonly keepKey: string;
     readonly gang: boolean;
-    /** Workers on which the task failed before. */
+    /** Ids of workers on which the task failed before. */
     readonly avoid: readonly string[];
 }
 
-/** Tasks of one home, offered to a rack owner. */
+/** Offers of one home's tasks to a rack owner. */
 export interface PlaceRequest {
     readonly homeId: string;
-    /** Version of the home's ownership row; an owner refuses a lower one than it has seen. */
+    /** Version of the home's ownership row. It acts as a fencing token: an owner refuses a lower version than it has received before. */
     readonly homeVersion: number;
     readonly offers: readonly TaskOffer[];
 }
 
-/** A reservation; offers without one were refused. */
+/** A reservation on a worker for one attempt; an offer that gets none is refused. */
 export interface Placement {
     readonly attemptId: string;
     readonly workerId: string;
     readonly rackKey: string;
-    /** Generation of the VM list in which the owner saw the worker. */
+    /** Generation of the owner's VM list, which contained the worker. */
     readonly listedGeneration: number;
 }
 
-/** What the owner reserved. */
+/** Reservations that the owner made for a `PlaceRequest`. */
 export interface PlaceResponse {
     readonly placements: readonly Placement[];
 }
 
-/** States of an attempt at the owner of its rack. `undecided`: the worker has not answered yet. */
+/**
+ * States of an attempt at the owner of its rack. `absent`: it does not run, but may have. `notStarted`: it never ran and will not run.
+ * `undecided`: not determined yet, because the worker has not answered, or because the owner may itself have been replaced.
+ */
 export const attemptStates = {
     reserved: "reserved",
     starting: "starting",
@@ -60,63 +63,68 @@
 /** One of `attemptStates`. */
 export type AttemptState = (typeof attemptStates)[keyof typeof attemptStates];
 
-/** Attempts by id, with the rack they were placed in. */
+/** A request of a home about some of its attempts: to start, stop or release them, or to return their states. */
 export interface AttemptsRequest {
-    /** With `release`: work that needs no worker kept free any more. */
+    /** For `release` only: keys under which no worker needs to be kept free any more. */
     readonly keepKeys?: readonly string[];
     readonly homeId: string;
+    /** Version of the home's ownership row, as in `PlaceRequest`. */
     readonly homeVersion: number;
     readonly attempts: readonly Placement[];
 }
 
-/** State of each attempt that was asked about. */
+/** States of the attempts in a request, by attempt id. */
 export interface AttemptsResponse {
     readonly states: Readonly<Record<string, AttemptState>>;
 }
 
-/** Ended attempts of one home's tasks. */
+/** Reports of ended attempts at one home's tasks. */
 export interface ReportRequest {
     readonly homeId: string;
     readonly reports: readonly AttemptReport[];
 }
 
-/** Reports that are durable, or of no more interest. */
+/** Answer to reports: the sender drops the settled ones and sends the others again. */
 export interface ReportResponse {
+    /** Ids of attempts whose end the home has made durable or does not need. */
     readonly settled: readonly string[];
 }
 
-/** Free room of one daemon's workers; of fixed size. */
+/** Summary of the capacity of one daemon's workers, whose size does not depend on their number. */
 export interface CapacitySummary {
-    /** All workers owned; the amounts are of those that are open to any task. */
+    /** Number of all workers that the daemon owns; the other fields cover only workers that are open to any task. */
     readonly workers: number;
     readonly capacity: Resources;
     readonly free: Resources;
-    /** Room of the worker with most free processors. */
+    /** Free resources of the worker with the most free processors. */
     readonly mostFree: Resources;
 }
 
-/** What daemons tell each other regularly. */
+/** State that each daemon sends to its peers at regular intervals. */
 export interface Gossip {
     readonly sessionId: string;
-    /** The session that this one named as its deputy; empty for none. */
+    /** The session that may take over from this one, as named by this one; empty for none. */
     readonly deputy: string;
     readonly configurationVersion: number;
     readonly draining: boolean;
     readonly capacity: CapacitySummary;
-    /** Free slots by service. */
+    /** Free upstream slots by service. */
     readonly freeSlots: Readonly<Record<string, number>>;
-    /** Held by the running tasks of teams that have a quota. */
+    /** Resources of running tasks by team, for teams that have a quota. */
     readonly teamUse: Readonly<Record<string, Resources>>;
 }
 
-/** What a daemon answers to gossip. */
+/** Answer to gossip. */
 export interface GossipReply {
     readonly configurationVersion: number;
-    /** The deputy promises not to take over for this long, counted from when it answers; 0 for no promise. */
+    /**
+     * Promise of the deputy that it does not take over from the sender for this long; 0 for no promise. The deputy counts from its
+     * answer and the sender from its own message, so that the sender's count ends first.
+     */
     readonly promiseMs: number;
 }
 
-/** A worker as its owner shows it. */
+/** A worker's state at its owner. */
 export interface WorkerView {
     readonly workerId: string;
     readonly dataCentre: string;
@@ -129,7 +137,7 @@
     readonly ownerDaemonId: string;
 }
 
-/** An upstream as its owner shows it. */
+/** An upstream's state at its owner. */
 export interface UpstreamView {
     readonly upstreamId: string;
     readonly service: string;
@@ -140,7 +148,7 @@
     readonly ownerDaemonId: string;
 }
 
-/** A daemon as it shows itself. */
+/** A daemon's own state. */
 export interface DaemonView {
     readonly daemonId: string;
     readonly vmId: string;
@@ -150,13 +158,14 @@
     readonly draining: boolean;
     readonly ownedRacks: number;
     readonly ownedUpstreams: number;
+    /** Number of homes that the daemon holds. */
     readonly homes: number;
     readonly queuedTasks: number;
     readonly configurationVersion: number;
     readonly configurationInForceSinceMs: number;
 }
 
-/** Counts and waits of one daemon. */
+/** Counters, capacity and task waiting times of one daemon. */
 export interface NodeReport {
     readonly tasksAccepted: number;
     readonly tasksEnded: number;
@@ -171,13 +180,13 @@
     readonly requestsAnswered: number;
 }
 
-/** Asks for everything that an owner knows of a home, and shuts out earlier holders of the home. */
+/** Requests all attempts of a home that a rack owner holds. From then on the owner refuses requests of earlier holders of the home. */
 export interface HomeAttemptsRequest {
     readonly homeId: string;
     readonly homeVersion: number;
 }
 
-/** An attempt of a home, as the owner of its rack knows it. */
+/** An attempt of a home, with its state at the owner of its rack. */
 export interface HomeAttempt {
     readonly attemptId: string;
     readonly taskId: string;
@@ -187,14 +196,14 @@
     readonly state: AttemptState;
 }
 
-/** What the owner knows of a home's attempts. */
+/** Attempts of a home at one rack owner. */
 export interface HomeAttemptsResponse {
     readonly attempts: readonly HomeAttempt[];
-    /** Racks of which every worker has answered since this daemon owns them. */
+    /** Racks for which `attempts` is complete: all their workers have answered since this daemon became their owner. */
     readonly decidedRacks: readonly string[];
 }
 
-/** Calls between daemons: what goes in and what comes out. */
+/** Calls between daemons, by name, with their input and output. */
 export interface PeerCalls {
     readonly place: { readonly input: PlaceRequest; readonly output: PlaceResponse; };
     readonly start: { readonly input: AttemptsRequest; readonly output: AttemptsResponse; };
@@ -237,8 +246,8 @@
 export type PeerHandlers = { readonly [K in PeerCallName]: PeerHandler<K>; };
 
 /**
- * Calls to other daemons. Fails with `unavailable` where the call surely was not delivered, with `mayHaveRun` where
- * the answer was lost, and with the peer's own kind where it answered with an error.
+ * Calls to other daemons. Fails with the kind `unavailable` where the call was certainly not delivered, with `mayHaveRun` where no
+ * answer arrived, and with the peer's error kind where it answered with an error.
  */
 export interface PeerPort {
     call<K extends PeerCallName>(
@@ -248,7 +257,7 @@
     ): Promise<PeerCalls[K]["output"]>;
 }
 
-/** A call to the daemon of a session, this one's own included; fails as `PeerPort` does. */
+/** Calls the daemon that holds a session, which may be the calling daemon itself; fails as `PeerPort` does. */
 export type CallSession = <K extends PeerCallName>(
     sessionId: string,
     name: K,
--- a/packages/puffinarch/src/types/resources.ts
+++ b/packages/puffinarch/src/types/resources.ts
@@ -1,13 +1,16 @@
-/** An amount of processors, memory and accelerators, and the arithmetic on it. */
+/** Amounts of processors, memory and accelerators, and the arithmetic on them. */
 
-/** Processors in thousandths of a core, memory in mebibytes, whole accelerators. */
+/** An amount of each resource. */
 export interface Resources {
+    /** Processors in thousandths of a core. */
     readonly cpuMillis: number;
+    /** Memory in mebibytes. */
     readonly memoryMib: number;
+    /** Number of whole accelerators. */
     readonly accelerators: number;
 }
 
-/** The amount that holds nothing. */
+/** Zero of each resource. */
 export const noResources: Resources = { cpuMillis: 0, memoryMib: 0, accelerators: 0 };
 
 /**
@@ -23,7 +26,7 @@
 });
 
 /**
- * Takes the second amount from the first; the answer may be negative.
+ * Subtracts the second amount from the first; the result may be negative.
  *
  * @example
  * subtract({ cpuMillis: 500, memoryMib: 64, accelerators: 0 }, noResources).memoryMib; // 64
@@ -47,18 +50,18 @@
 });
 
 /**
- * Tells whether an amount fits into a room, in every dimension.
+ * Returns whether an amount is at most the available one in every dimension.
  *
  * @example
  * fits(noResources, noResources); // true
  */
-export const fits = (amount: Resources, room: Resources): boolean =>
-    amount.cpuMillis <= room.cpuMillis
-    && amount.memoryMib <= room.memoryMib
-    && amount.accelerators <= room.accelerators;
+export const fits = (amount: Resources, available: Resources): boolean =>
+    amount.cpuMillis <= available.cpuMillis
+    && amount.memoryMib <= available.memoryMib
+    && amount.accelerators <= available.accelerators;
 
 /**
- * Takes the larger of two amounts in each dimension.
+ * Returns the larger of two amounts in each dimension.
  *
  * @example
  * largest({ cpuMillis: 1, memoryMib: 9, accelerators: 0 }, { cpuMillis: 5, memoryMib: 2, accelerators: 0 });
