--- a/packages/puffinarch/src/internal.ts
+++ b/packages/puffinarch/src/internal.ts
@@ -1,4 +1,4 @@
-/** Everything inside the library, for the public entry to choose from. */
+/** Re-exports of all modules of the library; the public entry exports a selection of them. */
 
 export * from "./core/attemptOwners.js";
 export * from "./core/attempts.js";
--- a/packages/puffinarch/src/plugins/upstreamChoices.ts
+++ b/packages/puffinarch/src/plugins/upstreamChoices.ts
@@ -1,4 +1,4 @@
-/** Handlers that pick one upstream among those with a free slot. */
+/** Handlers that select one upstream among those with a free slot. */
 
 import type { Random } from "../types/ports.js";
 
@@ -8,10 +8,11 @@
     readonly slotsInUse: number;
 }
 
-/** What a handler decides on; `sequence` counts the choices made so far. */
+/** Input of a handler. */
 export interface UpstreamChoiceInput<T extends UpstreamCandidate> {
     readonly candidates: readonly T[];
     readonly random: Random;
+    /** Number of selections made so far. */
     readonly sequence: number;
 }
 
@@ -28,7 +29,9 @@
     candidates[sequence % Math.max(1, candidates.length)];
 
 /**
- * Handlers by name.
+ * Handlers by the name that the settings give; each returns undefined where there are no candidates.
+ * - `leastOfTwo`: of two random upstreams, the one with fewer slots in use.
+ * - `roundRobin`: each upstream in turn.
  *
  * @example
  * upstreamChoices.roundRobin({ candidates: [{ upstreamId: "u1", slotsInUse: 0 }], random, sequence: 0 })?.upstreamId; // "u1"
@@ -37,5 +40,5 @@
 
 /** Name of a handler that chooses upstreams. */
 export type UpstreamChoiceName = keyof typeof upstreamChoices;
-/** Names that the settings may give. */
+/** All names of handlers. */
 export const upstreamChoiceNames = Object.keys(upstreamChoices) as readonly UpstreamChoiceName[];
--- a/packages/puffinarch/src/puffinarch.ts
+++ b/packages/puffinarch/src/puffinarch.ts
@@ -1,9 +1,9 @@
 /**
- * The public entry of the library. Everything here takes its clock, randomness and I/O as parameters; each name is
- * documented, with an example, where it is defined.
+ * Public entry of the library. All functions take their clock, random numbers and I/O as parameters; each export is documented where
+ * it is defined.
  */
 
-// Parts that coordinate and decide.
+// A node: homes of jobs, owners of racks and upstreams, sessions and configuration.
 export { type AttemptOwners, type AttemptOwnersOptions, createAttemptOwners, type OwnerAnswer } from "./internal.js";
 export {
     type Attempt,
@@ -73,7 +73,7 @@
 export { correctedSize, remediesFor, type Remedy, type UsedAttempt } from "./internal.js";
 export { readReport, type WorkerReportOptions } from "./internal.js";
 
-// A shard: jobs of steps on workers with fencing tokens, owned by one daemon of a cell at a time.
+// A shard: jobs made of steps, on workers that check fencing tokens; one daemon of a cell owns the shard at a time.
 export { type AdviceBreadth, createAdviceBreadth } from "./internal.js";
 export { type AdviceDesk, type AdviceDeskOptions, type AdviceOrder, createAdviceDesk } from "./internal.js";
 export { type AdviceAsker, type AdviceWish, type AskAdviceOptions, createAdviceAsker } from "./internal.js";
@@ -274,7 +274,7 @@
     type WorkerEntry,
 } from "./internal.js";
 
-// Handlers in lookup tables.
+// Placement and upstream selection handlers.
 export {
     type PlacementChoice,
     type PlacementHandler,
@@ -398,7 +398,7 @@
 export { type AdviceTerms } from "./internal.js";
 export { add, fits, largest, noResources, type Resources, scale, subtract } from "./internal.js";
 
-// Errors, checks and small helpers.
+// Errors, validation and utilities.
 export { type Bucket, createBucket } from "./internal.js";
 export { check, lookUp, nameSchema, oneOf, rejectAll, textUpTo, wholeNumber } from "./internal.js";
 export { type Decoded, decodeRow, decodeText, mapDecoded, noEntry } from "./internal.js";
--- a/packages/puffinarch/src/utils/bucket.ts
+++ b/packages/puffinarch/src/utils/bucket.ts
@@ -1,19 +1,20 @@
-/** A token bucket: a steady rate, and a second's worth at once after a rest. */
+/** A token bucket: a steady rate, with bursts of up to one second's tokens. */
 
 import type { Clock } from "../types/ports.js";
 
-/** Tokens that come at a steady rate. */
+/** A token bucket. */
 export interface Bucket {
-    /** Takes a token where there is one. */
+    /** Takes a token; returns false where none is available. */
     take(): boolean;
-    /** Milliseconds until there is one; 0 where there is. */
+    /** Milliseconds until a token is available: 0 where one is available now, infinite at a rate of 0. */
     waitMs(): number;
 }
 
-const millisecondsASecond = 1_000;
+const msPerSecond = 1_000;
 
 /**
- * Makes a full bucket; it holds a second's tokens, one at least, and the rate may change.
+ * Creates a full bucket. `rate` returns the tokens per second; it is read at each use, so that the rate may change. The bucket holds
+ * at most one second's tokens, but at least one token.
  *
  * @example
  * const bucket = createBucket(clock, () => 2);
@@ -21,13 +22,13 @@
  */
 export const createBucket = (clock: Clock, rate: () => number): Bucket => {
     let tokens = Math.max(1, rate());
-    let countedAtMs = clock.monotonicMs();
+    let refilledAtMs = clock.monotonicMs();
 
     const refill = (): void => {
         const nowMs = clock.monotonicMs();
         const perSecond = rate();
-        tokens = Math.min(Math.max(1, perSecond), tokens + (nowMs - countedAtMs) * perSecond / millisecondsASecond);
-        countedAtMs = nowMs;
+        tokens = Math.min(Math.max(1, perSecond), tokens + (nowMs - refilledAtMs) * perSecond / msPerSecond);
+        refilledAtMs = nowMs;
     };
 
     return {
@@ -41,7 +42,7 @@
         },
         waitMs: () => {
             refill();
-            return tokens >= 1 ? 0 : rate() === 0 ? Infinity : (1 - tokens) * millisecondsASecond / rate();
+            return tokens >= 1 ? 0 : rate() === 0 ? Infinity : (1 - tokens) * msPerSecond / rate();
         },
     };
 };
--- a/packages/puffinarch/src/utils/check.ts
+++ b/packages/puffinarch/src/utils/check.ts
@@ -1,13 +1,13 @@
-/** Checks of untrusted input with zod, turned into violations that name the field, the value and what is allowed. */
+/** Validation of untrusted input with zod; each violation names the field, its value and the allowed values. */
 
 import { z } from "zod";
 import { die, type Violation } from "./errors.js";
 
-const shownValueLength = 80;
+const maxShownLength = 80;
 
-const show = (value: unknown): string => {
+const showValue = (value: unknown): string => {
     const text = value === undefined ? "nothing" : JSON.stringify(value);
-    return text.length > shownValueLength ? `${text.slice(0, shownValueLength)}...` : text;
+    return text.length > maxShownLength ? `${text.slice(0, maxShownLength)}...` : text;
 };
 
 const valueAt = (input: unknown, path: readonly PropertyKey[]): unknown => {
@@ -26,7 +26,7 @@
         .join("");
 
 /**
- * Names each field of an input that a schema refused, its value and what is allowed.
+ * Converts the error of a failed schema check into violations, one for each wrong field of the input.
  *
  * @example
  * violationsOf(input, parsed.error)[0]?.field;
@@ -37,13 +37,17 @@
         if (issue.code === "unrecognized_keys") {
             for (const key of issue.keys) {
                 const path = [...issue.path, key];
-                violations.push({ field: joinPath(path), value: show(valueAt(input, path)), allowed: "no such field" });
+                violations.push({
+                    field: joinPath(path),
+                    value: showValue(valueAt(input, path)),
+                    allowed: "no such field",
+                });
             }
             continue;
         }
         violations.push({
             field: joinPath(issue.path),
-            value: show(valueAt(input, issue.path)),
+            value: showValue(valueAt(input, issue.path)),
             allowed: issue.message,
         });
     }
@@ -51,7 +55,8 @@
 };
 
 /**
- * Checks an input whole and returns it typed; fails with the kind `invalid` and every violation at once.
+ * Validates an input and returns it typed; fails with the kind `invalid` and all violations at once. `what` names the input in the
+ * error message.
  *
  * @example
  * check(z.strictObject({ tasks: wholeNumber(1, 10) }), { tasks: 3 }, "job").tasks; // 3
@@ -83,7 +88,7 @@
 };
 
 /**
- * A whole number within bounds.
+ * Creates a schema for a whole number within bounds, both inclusive.
  *
  * @example
  * wholeNumber(1, 10).safeParse(11).success; // false
@@ -95,11 +100,11 @@
 
 const nameAllowed = "1 to 128 characters of a-z, A-Z, 0-9, dot, underscore and hyphen";
 
-/** A name of 1 to 128 safe characters. */
+/** Schema for names of 1 to 128 characters that are safe in URLs and file names. */
 export const nameSchema = z.string(nameAllowed).regex(/^[A-Za-z0-9._-]{1,128}$/, nameAllowed);
 
 /**
- * One of a closed list of words.
+ * Creates a schema for one of the given words.
  *
  * @example
  * oneOf(["a", "b"]).safeParse("c").success; // false
@@ -108,7 +113,7 @@
     z.enum(words as readonly [T, ...T[]], `one of ${words.join(", ")}`);
 
 /**
- * Text of bounded length.
+ * Creates a schema for text of at most `maxLength` characters.
  *
  * @example
  * textUpTo(3).safeParse("abcd").success; // false
@@ -119,7 +124,8 @@
 };
 
 /**
- * The value that a table has for a word from outside; nothing that every object inherits, such as `constructor`.
+ * Looks up a word from untrusted input in a table; undefined where the table has no such own property, so that inherited ones such as
+ * `constructor` are never returned.
  *
  * @example
  * lookUp({ done: 1 }, "constructor"); // undefined
--- a/packages/puffinarch/src/utils/decode.ts
+++ b/packages/puffinarch/src/utils/decode.ts
@@ -1,22 +1,26 @@
 /**
- * Reads rows of the store that any writer may have left: fields missing or of another type, or bytes that are no JSON. A row
- * that cannot be read says so with its field; it never throws, so that it stops no feed and the other rows stay in force.
+ * Decoding of rows from the store, which other programs also write: fields may be missing or of another type, and a value may not be
+ * JSON. The functions never throw: an invalid row is returned as `unreadable`, so that it does not stop a feed and all other rows
+ * stay in force.
  */
 
 import type { z } from "zod";
 import type { Row } from "../types/cellPorts.js";
 import { violationsOf } from "./check.js";
 
-/** What a row holds: an entry, nothing of the kind that was asked for, or what cannot be read, and why. */
+/**
+ * Result of decoding a row. `none`: the row was removed or is of another kind. `unreadable`: its value is invalid, at the given field
+ * and for the given reason.
+ */
 export type Decoded<T> =
     | { readonly kind: "entry"; readonly entry: T; }
     | { readonly kind: "none"; }
     | { readonly kind: "unreadable"; readonly field: string; readonly reason: string; };
 
-/** A row that was removed, or is of another kind. */
+/** Result for a row that was removed or is of another kind. */
 export const noEntry = { kind: "none" } as const;
 
-/** Names the whole value where no field of it is at fault. */
+/** Field name that stands for the value as a whole. */
 const wholeValue = "value";
 
 const parseJson = (text: string): { readonly json: unknown; } | undefined => {
@@ -29,7 +33,7 @@
 };
 
 /**
- * Decodes a text as JSON of a schema.
+ * Parses a text as JSON and checks it against a schema.
  *
  * @example
  * decodeText('{"wave":"x"}', z.object({ wave: z.number("a number") })).kind; // "unreadable"
@@ -37,7 +41,7 @@
 export const decodeText = <T>(text: string, schema: z.ZodType<T>): Decoded<T> => {
     const parsed = parseJson(text);
     if (parsed === undefined) {
-        return { kind: "unreadable", field: wholeValue, reason: "it is not JSON" };
+        return { kind: "unreadable", field: wholeValue, reason: "the value is not valid JSON" };
     }
     const result = schema.safeParse(parsed.json);
     if (result.success) {
@@ -52,7 +56,7 @@
 };
 
 /**
- * Decodes a row's value; none where the row was removed.
+ * Decodes a row's value; returns `noEntry` where the row was removed.
  *
  * @example
  * decodeRow(row, z.object({ address: z.string("an address") }));
@@ -61,7 +65,7 @@
     value === undefined ? noEntry : decodeText(value, schema);
 
 /**
- * Turns what was decoded into another form.
+ * Converts the entry of a result; other results are returned unchanged.
  *
  * @example
  * mapDecoded({ kind: "entry", entry: 2 }, count => count + 1); // { kind: "entry", entry: 3 }
--- a/packages/puffinarch/src/utils/errors.ts
+++ b/packages/puffinarch/src/utils/errors.ts
@@ -1,65 +1,75 @@
-/** The closed list of error kinds, what each means to a caller, and the one place that throws. */
+/** All error kinds with their meaning for callers, and the functions that create, throw and read errors of these kinds. */
 
 import VError from "verror";
 
-/** One wrong field of an input. */
+/** One invalid field of an input. */
 export interface Violation {
+    /** Path of the field, such as `steps[0].after`. */
     readonly field: string;
+    /** The value as JSON, shortened where it is long. */
     readonly value: string;
+    /** Description of the allowed values. */
     readonly allowed: string;
-    /** Line of a settings file, counted from 1. */
+    /** Line in the settings file, counted from 1; set for settings files only. */
     readonly line?: number;
 }
 
-/** Answer that a kind maps to. */
+/** How an error kind is presented to callers. */
 export interface ErrorAnswer {
     readonly httpStatus: number;
     /** Status code name of the Connect protocol. */
     readonly code: string;
     /** Exit code of the command-line tool. */
     readonly exitCode: number;
-    /** True where a resend cannot make it run twice. */
+    /** True where sending the request again cannot make it run twice. */
     readonly resendSafe: boolean;
+    /** Description for callers. */
     readonly meaning: string;
 }
 
-/** Kinds and their answers; a kind that is not listed here does not exist. */
+/** All error kinds and how they are presented. */
 export const errorAnswers = {
     invalid: {
         httpStatus: 400,
         code: "invalid_argument",
         exitCode: 2,
         resendSafe: true,
-        meaning: "bad input; correct the fields named",
+        meaning: "the input is invalid; correct the named fields",
     },
     unauthenticated: {
         httpStatus: 401,
         code: "unauthenticated",
         exitCode: 9,
         resendSafe: true,
-        meaning: "not run: no known API key came with it",
+        meaning: "not run: the request carries no known API key",
+    },
+    notFound: {
+        httpStatus: 404,
+        code: "not_found",
+        exitCode: 3,
+        resendSafe: true,
+        meaning: "the named item does not exist",
     },
-    notFound: { httpStatus: 404, code: "not_found", exitCode: 3, resendSafe: true, meaning: "there is no such thing" },
     alreadyExists: {
         httpStatus: 409,
         code: "already_exists",
         exitCode: 4,
         resendSafe: true,
-        meaning: "the name is taken by something different",
+        meaning: "the name is already used for a different item",
     },
     conflict: {
         httpStatus: 409,
         code: "aborted",
         exitCode: 4,
         resendSafe: true,
-        meaning: "the configuration moved on; read the winner first",
+        meaning: "the configuration has changed; read the version in force before the next attempt",
     },
     neverFits: {
         httpStatus: 422,
         code: "failed_precondition",
         exitCode: 5,
         resendSafe: true,
-        meaning: "no worker could ever hold it; the limit is named",
+        meaning: "it can never be placed; the message names the limit that it exceeds",
     },
     overQuota: {
         httpStatus: 429,
@@ -73,7 +83,7 @@
         code: "resource_exhausted",
         exitCode: 6,
         resendSafe: true,
-        meaning: "not run: too much waits already",
+        meaning: "not run: too many requests or jobs are waiting",
     },
     notAccepted: {
         httpStatus: 503,
@@ -94,36 +104,39 @@
         code: "unknown",
         exitCode: 8,
         resendSafe: false,
-        meaning: "it may have run, once at most",
+        meaning: "it may have run, at most once",
     },
     unavailable: {
         httpStatus: 503,
         code: "unavailable",
         exitCode: 7,
         resendSafe: true,
-        meaning: "the question cannot be answered now",
+        meaning: "the request cannot be answered at present",
     },
     internal: {
         httpStatus: 500,
         code: "internal",
         exitCode: 1,
         resendSafe: false,
-        meaning: "a fault of the system itself",
+        meaning: "internal error",
     },
 } as const satisfies Readonly<Record<string, ErrorAnswer>>;
 
-/** One of the closed list of error kinds. */
+/** Name of an error kind. */
 export type ErrorKind = keyof typeof errorAnswers;
 
-/** What an error carries besides its message. */
+/** Optional data of an error besides its message. */
 export interface FailureDetail {
     readonly violations?: readonly Violation[];
+    /** Time after which a caller may try again. */
     readonly retryAfterMs?: number;
+    /** Version of the configuration in force, where a change of it was refused. */
     readonly winningVersion?: number;
+    /** Difference between the configuration in force and the refused one, a line each. */
     readonly difference?: string;
 }
 
-/** An error as data, to be sent to a caller or a peer. */
+/** An error as plain data, for sending to a caller or a peer. */
 export interface Failure extends FailureDetail {
     readonly kind: ErrorKind;
     readonly message: string;
@@ -132,7 +145,7 @@
 const errorName = "PuffinarchError";
 
 /**
- * Throws an error of a listed kind.
+ * Throws an error of the given kind.
  *
  * @example
  * die("notFound", "there is no job load-in-7");
@@ -150,7 +163,7 @@
 };
 
 /**
- * Makes an error of a listed kind without throwing it, for rejections.
+ * Creates an error from a failure without throwing it, for example to reject a promise.
  *
  * @example
  * Promise.reject(errorOf({ kind: "notRun", message: "no upstream is free" }));
@@ -161,7 +174,7 @@
 const isKind = (kind: unknown): kind is ErrorKind => typeof kind === "string" && kind in errorAnswers;
 
 /**
- * Reads an error as data; what was not thrown by `die` becomes the kind `internal`.
+ * Converts an error to plain data; errors that neither `die` nor `errorOf` created become the kind `internal`.
  *
  * @example
  * failureOf(new Error("boom")).kind; // "internal"
@@ -178,7 +191,7 @@
 };
 
 /**
- * Gives the kind of an error.
+ * Returns the kind of an error.
  *
  * @example
  * kindOf(new Error("boom")); // "internal"
--- a/packages/puffinarch/src/utils/rendezvous.ts
+++ b/packages/puffinarch/src/utils/rendezvous.ts
@@ -1,10 +1,10 @@
-/** Rendezvous hashing: all who know the same members pick the same one, without a message. */
+/** Rendezvous hashing: daemons with the same list of members assign a key to the same member without exchanging messages. */
 
 const fnvOffset = 0x811c9dc5;
 const fnvPrime = 0x01000193;
 
 /**
- * Hashes text to 32 bits (FNV-1a with a final mix).
+ * Hashes text to an unsigned 32-bit integer (FNV-1a with a final mix).
  *
  * @example
  * hash("leon-feria") === hash("leon-feria"); // true
@@ -20,7 +20,7 @@
 };
 
 /**
- * Picks the member that is responsible for a key; undefined without members.
+ * Returns the member with the highest hash together with the key; undefined where there are no members.
  *
  * @example
  * pick("home-1", ["a"]); // "a"
--- a/packages/puffinarch/src/utils/ring.ts
+++ b/packages/puffinarch/src/utils/ring.ts
@@ -1,14 +1,14 @@
-/** A bounded list that forgets its oldest entries. */
+/** A ring buffer: a list of fixed capacity in which new entries overwrite the oldest. */
 
-/** The newest entries, up to a capacity. */
+/** A ring buffer. */
 export interface Ring<T> {
     push(entry: T): void;
-    /** Newest first. */
+    /** All entries, newest first. */
     newest(): readonly T[];
 }
 
 /**
- * Makes a ring.
+ * Creates an empty ring buffer.
  *
  * @example
  * const ring = createRing<number>(2);
--- a/packages/puffinarch/src/utils/system.ts
+++ b/packages/puffinarch/src/utils/system.ts
@@ -1,10 +1,10 @@
-/** Clock and random numbers of the machine, and repeatable random numbers for tests and replays. */
+/** The system's clock and random numbers, and reproducible random numbers for tests and replays. */
 
 import { performance } from "node:perf_hooks";
 import type { Clock, Random } from "../types/ports.js";
 
 /**
- * Makes a clock that reads the machine's time.
+ * Creates a clock that reads the system's time.
  *
  * @example
  * createSystemClock().monotonicMs();
@@ -19,7 +19,7 @@
 });
 
 /**
- * Makes random numbers from the machine's generator.
+ * Creates a source of random numbers based on `Math.random`.
  *
  * @example
  * createSystemRandom().next() < 1; // true
@@ -27,7 +27,7 @@
 export const createSystemRandom = (): Random => ({ next: () => Math.random() });
 
 /**
- * Makes the same random numbers for the same seed (mulberry32).
+ * Creates a source of random numbers that repeats the same sequence for the same seed (mulberry32).
  *
  * @example
  * createSeededRandom(7).next() === createSeededRandom(7).next(); // true
--- a/packages/puffinarch/src/utils/time.ts
+++ b/packages/puffinarch/src/utils/time.ts
@@ -1,10 +1,10 @@
-/** Small helpers on the clock port. */
+/** Delays and repeated work on the clock port. */
 
 import type { Clock, Log } from "../types/ports.js";
 import { failureOf } from "./errors.js";
 
 /**
- * Waits on a clock.
+ * Resolves after a delay.
  *
  * @example
  * await sleep(clock, 100);
@@ -14,25 +14,27 @@
         clock.setTimer(delayMs, resolve);
     });
 
-/** A repeated piece of work, never overlapping itself. */
+/** A function that is called repeatedly; its calls never overlap. */
 export interface Loop {
-    /** Runs it as soon as possible instead of waiting for the interval. */
+    /** Starts the next run at once, or directly after the run in progress, instead of after the interval. */
     wake(): void;
-    /** Resolves once it has stopped and the run in progress is over. */
+    /** Ends the loop; resolves once the run in progress is over. */
     stop(): Promise<void>;
 }
 
-/** What a loop needs. */
+/** Options of a loop. */
 export interface LoopOptions {
     readonly clock: Clock;
     readonly log: Log;
+    /** Name of the loop in the log. */
     readonly name: string;
+    /** Pause between the end of a run and the start of the next. */
     readonly intervalMs: number;
     readonly run: () => Promise<void>;
 }
 
 /**
- * Runs a piece of work at an interval, one run at a time; a failed run is logged and the next one comes as usual.
+ * Calls a function repeatedly, the first time at once. A failed run is logged, and the next one starts after the usual interval.
  *
  * @example
  * const loop = startLoop({ clock, log, name: "gossip", intervalMs: 500, run: sendSummary });
@@ -40,10 +42,10 @@
  */
 export const startLoop = ({ clock, log, name, intervalMs, run }: LoopOptions): Loop => {
     let stopped = false;
-    let wanted = false;
+    let rerunRequested = false;
     let running: Promise<void> | undefined;
     let cancelTimer = (): void => {};
-    const once = async (): Promise<void> => {
+    const runAndLogFailure = async (): Promise<void> => {
         try {
             await run();
         }
@@ -51,27 +53,27 @@
             log.write("warn", "loopFailed", { loop: name, ...failureOf(error) });
         }
     };
-    const begin = (): void => {
+    const startRun = (): void => {
         cancelTimer();
         if (stopped) {
             return;
         }
         if (running !== undefined) {
-            wanted = true;
+            rerunRequested = true;
             return;
         }
-        running = once().then(() => {
+        running = runAndLogFailure().then(() => {
             running = undefined;
-            const delayMs = wanted ? 0 : intervalMs;
-            wanted = false;
+            const delayMs = rerunRequested ? 0 : intervalMs;
+            rerunRequested = false;
             if (!stopped) {
-                cancelTimer = clock.setTimer(delayMs, begin);
+                cancelTimer = clock.setTimer(delayMs, startRun);
             }
         });
     };
-    cancelTimer = clock.setTimer(0, begin);
+    cancelTimer = clock.setTimer(0, startRun);
     return {
-        wake: begin,
+        wake: startRun,
         stop: async () => {
             stopped = true;
             cancelTimer();
