--- a/packages/puffinarch/src/core/shard/cellMember.ts
+++ b/packages/puffinarch/src/core/shard/cellMember.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon's part in the cell: it watches the configuration, the members and the owner of the shard, takes the shard
- * over when its owner is lost, and passes callers' requests on to the owner.
+ * The membership of one daemon in its cell: it follows the configuration, the member rows and the row of the shard's owner,
+ * claims the shard when the owner has failed, and forwards callers' requests to the owner.
  */
 
 import {
@@ -47,10 +47,10 @@
 import { shortFeedWaitMs, type TableWatch, watchTable } from "./tableWatch.js";
 import { watchWorkerList } from "./workerList.js";
 
-/** Table in which the daemons enter themselves; the key is the member's id. */
+/** Table in which the daemons register themselves; the key is the member's id. */
 export const memberTable = "puffinarch-member";
 
-/** What a member is made of. */
+/** Dependencies and settings of a cell member. */
 export interface CellMemberOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -62,16 +62,16 @@
     readonly workers: FencedWorkerPort;
     readonly advisor: AdvisorPort;
     readonly members: MemberPort;
-    /** Table and decoding of what the platform publishes. */
+    /** Tables that the platform publishes, and the decoders of their rows. */
     readonly platform: {
         readonly configurationTable: string;
         readonly readConfiguration: (row: Row) => Decoded<CellConfiguration>;
         readonly workerTable: string;
         readonly readWorker: (row: Row) => Decoded<WorkerEntry>;
-        /** Waves of upkeep among the rows of the configuration's table; left out where nobody asks for any. */
+        /** Waves of upkeep, whose rows are in `configurationTable`; left out where the platform has none. */
         readonly upkeep?: {
             readonly port: VmPort;
-            /** How long an order of a former owner may still arrive; 0 where the platform refuses lower fencing tokens. */
+            /** How long a request sent by a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
             readonly settleMs: number;
             readonly readWave: (row: Row) => Decoded<UpkeepWave>;
             readonly stateRow: (wave: number, state: WaveState) => RowKey & { readonly value: string; };
@@ -79,68 +79,78 @@
     };
 }
 
-/** A daemon in its cell. */
+/** A daemon that is a member of a cell. */
 export interface CellMember {
     readonly dataCentre: string;
-    /** The newest configuration known; undefined before the first. */
+    /** The newest configuration received; undefined before the first. */
     configuration(): CellConfiguration | undefined;
-    /** True while callers may be sent here. */
+    /** True while the load balancer may send callers to this daemon. */
     ready(): boolean;
+    /** Resolves once the job is durable. `patienceMs` is the longest time that the call may take, as in the calls below. */
     submit(submission: JobSubmission, patienceMs: number): Promise<void>;
     /**
-     * Name of the organisation whose caller sends this API key to a queue, by the newest configuration; empty for none. Fails
-     * with `unauthenticated` where the key is not known, or the queue asks for one.
+     * Returns the name of the organisation that the API key belongs to by the newest configuration; empty for a caller without
+     * a key. Fails with `unauthenticated` where the key is unknown, or is missing and the queue requires one, and with
+     * `unavailable` before the first configuration.
      */
     authenticate(queue: Queue, key: string | undefined): string;
-    /** Undefined where the caller's organisation has no such job. */
+    /** Returns the job's state; undefined where the caller's organisation has no such job. */
     jobState(job: JobReference, patienceMs: number): Promise<JobStatus | undefined>;
-    /** False where the caller's organisation has no such job. */
+    /** Cancels a job; false where the caller's organisation has no such job. */
     cancel(job: JobReference, patienceMs: number): Promise<boolean>;
-    /** Jobs accepted of which no task has started; undefined where that is not known freshly enough. */
+    /** Number of accepted jobs in a queue of which no task has started; undefined where no recent count is available. */
     pending(queueKey: string): Promise<number | undefined>;
+    /** Handlers of the calls that peers make to this daemon. */
     readonly handlers: MemberHandlers;
     ownsShard(): boolean;
     /**
-     * Hands the shard over and claims none any more, but goes on passing callers' requests to the owner. Where every peer
-     * is leaving as well, it keeps the shard until one has come back, at most until the local time given.
+     * Hands the shard over to a peer and stops claiming, while callers' requests are still forwarded to the owner. As long as
+     * no peer accepts the shard, for example because all are leaving, this daemon keeps it, at most until the local time `untilMs`.
      */
     leave(untilMs: number): Promise<void>;
     close(): void;
 }
 
-/** The one shard of today's sites; docs/design/platform.md has the arithmetic for more. */
+/** Name of the only shard of a cell; docs/design/platform.md has the arithmetic for more than one. */
 const part = "shard-0";
-/** How long the store may take to write this daemon's entry. */
-const enterTimeoutMs = 1_500;
-/** Pause after an entry that was not written, doubled up to the longest one: all daemons enter themselves after a loss of all VMs. */
-const enterPauseMs = 300;
-const longestEnterPauseMs = 4_800;
-/** Timers of an owner that are late by this much, on average over a second, tell that its VM has turned slow. */
+/** Timeout of a write of this daemon's member row. */
+const registerTimeoutMs = 1_500;
+/**
+ * First pause after a failed write of the member row; it doubles up to the maximum, since all daemons register at once after a
+ * loss of all VMs.
+ */
+const registerRetryPauseMs = 300;
+const maxRegisterRetryPauseMs = 4_800;
+/** An owner whose timers fire this late, on average over a second, hands the shard over because its VM has become slow. */
 const slowOwnerLagMs = 60;
-/** A claim that the store does not answer is given up after this, so that the peers are asked who owns the shard by now. */
-const claimPatienceMs = 1_500;
-/** A claimant that reads no page of the journal for this long gives the shard up; a store 60 times slower takes 0.5 s a page. */
+/** A claim that the store has not answered is abandoned after this time, so that the peers can be asked who owns the shard. */
+const maxClaimMs = 1_500;
+/**
+ * A claimant that receives no page of the journal for this long gives the shard up; a store 60 times slower than usual takes
+ * 0.5 s a page.
+ */
 const restorePatienceMs = 2_500;
 /**
- * A claimant that reads the journal for this long, and for as long as no owner was at work before, gives the shard up too:
- * over a link of 20 bytes a ms one got on for 56 s while its peers would have needed 0.1 s. The second part doubles what
- * each next claimant is given, so that one of them gets through where all are slow. 1,000 jobs of 6 KB take 7 s at 10 Mbit/s.
+ * A claimant that reads the journal for this long gives the shard up as well: over a link of 20 bytes a ms it would read for
+ * 56 s, while its peers need 0.1 s. Where the shard had no serving owner for longer than this before the claim, that longer time
+ * is the limit instead. The limit thus at least doubles from one claimant to the next, so that one of them succeeds where all
+ * are slow. 1,000 jobs of 6 KB take 7 s at 10 Mbit/s.
  */
-const shortestRestoreMs = 8_000;
-/** After that it leaves the claim to others for this long. */
-const restAfterRestoreMs = 3_000;
+const minRestoreBudgetMs = 8_000;
+/** A claimant that gave the shard up because its restore was too slow does not claim again for this long. */
+const claimBackoffMs = 3_000;
 /**
- * A daemon that has not read who else there is takes itself for the strongest, and hears nobody say that the owner is well;
- * so it claims nothing before, but after this time, three reads without an answer, in any case.
+ * A daemon claims nothing before it has read the member rows, since without them it ranks itself strongest and has no peer to
+ * ask about the owner. After this time, enough for three reads without an answer, it claims without them.
  */
-const membersPatienceMs = 3_500;
-/** A weak VM that owns the shard looks this often for a stronger one to give it to. */
-const yieldPauseMs = 2_000;
-/** Counts older than this are not told. */
-const countsFreshMs = 1_800;
+const membersReadTimeoutMs = 3_500;
+/** Pause between attempts of a slow or weak owner to hand the shard over. */
+const handOverRetryPauseMs = 2_000;
+/** Counts of pending jobs that are older than this are not returned. */
+const maxCountsAgeMs = 1_800;
 
 /**
- * Starts a member; it enters itself in the store and watches from then on.
+ * Starts a member: it registers itself in the store and starts to follow the tables and the owner.
  *
  * @example
  * const member = startCellMember({ clock, log, meter, random, settings, self, store, workers, advisor, members, platform });
@@ -156,42 +166,42 @@
         members,
         reader,
         ownerVersion: () => knownOwner?.version ?? 0,
-        onOwner: known => learnOwner(known, "peer"),
+        onOwner: known => updateKnownOwner(known, "peer"),
     });
     /** Waves of upkeep by the key of their row. */
     const waves = new Map<string, UpkeepWave>();
     let workerWatch: TableWatch | undefined;
     let configuration: CellConfiguration | undefined;
-    /** Of the same version. */
+    /** Caller keys of `configuration`. */
     let callerKeys: CallerKeys | undefined;
     let knownOwner: KnownOwner | undefined;
     let ownerKnownAtMs = clock.monotonicMs();
     let ownerRead = false;
     let membersRead = false;
     let owner: ShardOwner | undefined;
-    /** The claim under way. */
+    /** Claim id of the claim in progress. */
     let claimUnderWay: string | undefined;
-    /** Claims on the present owner's row that were given up; a try of one that got no answer may take effect yet. */
+    /** Ids of abandoned claims that are conditional on the current owner row; an unanswered write of one may still take effect. */
     const claimsGivenUp = new Set<string>();
-    /** One of them that is in force, and is to be resumed. */
-    let wonClaim: KnownOwner | undefined;
-    /** Token of a claim whose rows are still being read; 0 for none. */
+    /** An abandoned claim that took effect after all and has to be resumed. */
+    let claimToResume: KnownOwner | undefined;
+    /** Fencing token of a claim whose rows are still being read; 0 for none. */
     let claimedToken = 0;
-    /** Claims no shard any more. */
+    /** True once this daemon is shutting down and claims no shard any more. */
     let leaving = false;
     let closed = false;
     let lastOwnedAtMs = clock.monotonicMs();
-    /** Local time at which an owner was last known to have its rows, wherever it is. */
-    let ownerAtWorkAtMs = clock.monotonicMs();
-    /** Whether the owner's newest answer said that it has its rows. */
-    let ownerWorks = false;
+    /** Local time at which any owner, this daemon included, was last known to be serving, which means that it has read all its rows. */
+    let ownerServingAtMs = clock.monotonicMs();
+    /** Whether the owner was serving by its newest ping answer. */
+    let isOwnerServing = false;
     let pendingCounts: { readonly counts: Readonly<Record<string, number>>; readonly atMs: number; } | undefined;
-    let yielding = false;
-    let claimsAgainAtMs = 0;
-    const claimsAnywayAtMs = clock.monotonicMs() + membersPatienceMs;
-    let yieldsAgainAtMs = 0;
+    let handingOver = false;
+    let nextClaimAtMs = 0;
+    const claimWithoutMembersAtMs = clock.monotonicMs() + membersReadTimeoutMs;
+    let nextHandOverAtMs = 0;
 
-    const adopt = (next: CellConfiguration, source: string): void => {
+    const applyConfiguration = (next: CellConfiguration, source: string): void => {
         if (configuration !== undefined && next.version <= configuration.version) {
             return;
         }
@@ -205,34 +215,34 @@
         owner?.updateConfiguration(next);
     };
 
-    /** From the store, or from a peer where the store turns this daemon away. */
-    const learnOwner = (known: KnownOwner, source: string): void => {
+    /** Accepts a newer owner row from the store, or from a peer where this daemon cannot reach the store. */
+    const updateKnownOwner = (known: KnownOwner, source: string): void => {
         if (known.version <= (knownOwner?.version ?? 0)) {
             return;
         }
         knownOwner = known;
         ownerKnownAtMs = clock.monotonicMs();
-        ownerAtWorkAtMs = lastAtWorkMs();
-        ownerWorks = false;
-        watch.reset();
+        ownerServingAtMs = lastServingAtMs();
+        isOwnerServing = false;
+        ownerWatch.reset();
         log.write("info", "ownerKnown", { owner: known.row.memberId, fencingToken: known.version, source });
         if (owner !== undefined && known.version > owner.fencingToken) {
             loseShard("ownerRow");
         }
-        wonClaim = claimsGivenUp.has(known.row.claimId) ? known : undefined;
-        // All others were conditional on the row before.
+        claimToResume = claimsGivenUp.has(known.row.claimId) ? known : undefined;
+        // All other abandoned claims were conditional on the replaced row and can no longer take effect.
         claimsGivenUp.clear();
         void resumeClaim();
         forward.wake();
     };
 
-    const takeOwnerRows = (rows: readonly Row[]): void => {
+    const applyOwnerRows = (rows: readonly Row[]): void => {
         for (const row of rows) {
             if (row.part !== part || row.key !== ownerKey || row.value === undefined) {
                 continue;
             }
             const entry = reader.entryOf(row, decodeOwner(row));
-            learnOwner(
+            updateKnownOwner(
                 entry === undefined ? unreadableOwner(row.version) : { row: entry, version: row.version },
                 "store",
             );
@@ -259,28 +269,28 @@
         const shortOffices = countShortOffices({ previous: knownOwner?.row, lastedMs, why });
         const row: OwnerRow = { ...self, claimId, shortOffices };
         log.write("info", "claimBegins", { part, seenVersion, why, shortOffices });
-        return takeShard(row, { seenVersion });
+        return claimAndStart(row, { seenVersion });
     };
 
-    /** A claim that was given up without an answer took effect: until it is taken for silent, no other daemon would serve the shard. */
+    /** Resumes an abandoned claim that took effect; otherwise the shard would go unserved until peers find this owner silent. */
     const resumeClaim = async (): Promise<void> => {
-        if (wonClaim === undefined || claimUnderWay !== undefined || leaving || closed) {
+        if (claimToResume === undefined || claimUnderWay !== undefined || leaving || closed) {
             return;
         }
-        const { row, version } = wonClaim;
-        wonClaim = undefined;
+        const { row, version } = claimToResume;
+        claimToResume = undefined;
         log.write("warn", "claimResumed", { part, fencingToken: version });
         try {
-            await takeShard(row, { seenVersion: version, wonToken: version });
+            await claimAndStart(row, { seenVersion: version, committedToken: version });
         }
         catch (error) {
             log.write("error", "claimResumeFailed", { part, reason: failureOf(error).message });
         }
     };
 
-    const takeShard = async (
+    const claimAndStart = async (
         row: OwnerRow,
-        { seenVersion, wonToken }: { readonly seenVersion: number; readonly wonToken?: number; },
+        { seenVersion, committedToken }: { readonly seenVersion: number; readonly committedToken?: number; },
     ): Promise<boolean> => {
         const startedAtMs = clock.monotonicMs();
         const { claimId } = row;
@@ -293,12 +303,12 @@
                 part,
                 owner: row,
                 seenVersion,
-                wonToken,
+                committedToken,
                 restorePatienceMs,
-                restoreWithinMs: Math.max(shortestRestoreMs, startedAtMs - lastAtWorkMs()),
+                restoreWithinMs: Math.max(minRestoreBudgetMs, startedAtMs - lastServingAtMs()),
                 wanted: () =>
                     !closed && (knownOwner?.version ?? 0) <= seenVersion
-                        && clock.monotonicMs() - startedAtMs < claimPatienceMs
+                        && clock.monotonicMs() - startedAtMs < maxClaimMs
                     || knownOwner?.row.claimId === claimId,
                 heardToken: () => knownOwner?.row.claimId === claimId ? knownOwner.version : undefined,
                 onClaimed: fencingToken => {
@@ -311,7 +321,7 @@
             });
             if (claimed === undefined) {
                 const gaveUp = claimedToken !== 0 && claimedToken === knownOwner?.version;
-                claimsAgainAtMs = gaveUp ? clock.monotonicMs() + restAfterRestoreMs : 0;
+                nextClaimAtMs = gaveUp ? clock.monotonicMs() + claimBackoffMs : 0;
                 if (!gaveUp) {
                     claimsGivenUp.add(claimId);
                 }
@@ -373,12 +383,12 @@
         }
     };
 
-    /** Waits no longer than it may: whoever waits for the store does not see the owner fall silent meanwhile. */
+    /** Reads the owner row, for at most `withinMs`: the owner is not pinged while the watch waits for the store. */
     const readOwner = (withinMs: number): Promise<boolean> => {
         const read = async (): Promise<boolean> => {
             try {
                 const page = await store.read(ownerTable, part);
-                takeOwnerRows(page.rows);
+                applyOwnerRows(page.rows);
                 return true;
             }
             catch (error) {
@@ -389,7 +399,7 @@
         return Promise.race([read(), sleep(clock, withinMs).then(() => false)]);
     };
 
-    const giveAway = async (shard: ShardOwner, why: HandOverReason): Promise<boolean> => {
+    const handOverShard = async (shard: ShardOwner, why: HandOverReason): Promise<boolean> => {
         const isOver = (): boolean => owner !== shard;
         const claimed = await handOver(shard, why, { clock, log, peers, selfId: self.memberId, isOver });
         if (claimed && owner === shard) {
@@ -398,53 +408,53 @@
         return claimed;
     };
 
-    const strongerPeerAnswers = (): boolean =>
+    const hasStrongerLivePeer = (): boolean =>
         !peers.isStrong(self.memberId)
         && peers.live().some(id => id !== self.memberId && peers.isStrong(id) && !peers.isLeaving(id));
 
-    /** An owner whose VM has turned slow, or is weaker than a peer's, gives way to one. */
-    const yieldIfUnfit = async (): Promise<void> => {
-        if (owner === undefined || leaving || yielding || clock.monotonicMs() < yieldsAgainAtMs) {
+    /** Hands the shard over where this owner's VM has become slow, or is weak while a strong peer answers. */
+    const handOverIfUnfit = async (): Promise<void> => {
+        if (owner === undefined || leaving || handingOver || clock.monotonicMs() < nextHandOverAtMs) {
             return;
         }
         const settled = clock.monotonicMs() - ownerKnownAtMs > settlingMs(knownOwner?.row ?? {});
         const slow = settled && owner.lagMs() >= slowOwnerLagMs;
-        if (!slow && !strongerPeerAnswers()) {
+        if (!slow && !hasStrongerLivePeer()) {
             return;
         }
-        yielding = true;
-        await giveAway(owner, slow ? "slow" : "weak");
-        yieldsAgainAtMs = clock.monotonicMs() + yieldPauseMs;
-        yielding = false;
+        handingOver = true;
+        await handOverShard(owner, slow ? "slow" : "weak");
+        nextHandOverAtMs = clock.monotonicMs() + handOverRetryPauseMs;
+        handingOver = false;
     };
 
-    const noteOwnership = (): void => {
+    const recordOwnership = (): void => {
         if (owner !== undefined) {
             lastOwnedAtMs = clock.monotonicMs();
-            ownerAtWorkAtMs = lastOwnedAtMs;
+            ownerServingAtMs = lastOwnedAtMs;
             pendingCounts = { counts: owner.pending(), atMs: clock.monotonicMs() };
-            void yieldIfUnfit();
+            void handOverIfUnfit();
         }
     };
 
-    const enterSelf = async (): Promise<void> => {
+    const registerSelf = async (): Promise<void> => {
         const row = { table: memberTable, part: "", key: self.memberId };
-        let pauseMs = enterPauseMs;
+        let pauseMs = registerRetryPauseMs;
         while (!closed) {
             const result = await store.transact({
                 expect: [],
                 puts: [{ ...row, value: JSON.stringify(self) }],
                 removes: [],
-            }, enterTimeoutMs);
+            }, registerTimeoutMs);
             if (result.outcome === "committed") {
                 return;
             }
             await sleep(clock, pauseMs);
-            pauseMs = Math.min(longestEnterPauseMs, 2 * pauseMs);
+            pauseMs = Math.min(maxRegisterRetryPauseMs, 2 * pauseMs);
         }
     };
 
-    const takeWaves = (rows: readonly Row[]): void => {
+    const applyWaveRows = (rows: readonly Row[]): void => {
         let changed = false;
         for (const row of platform.upkeep === undefined ? [] : rows) {
             const decoded = platform.upkeep?.readWave(row) ?? noEntry;
@@ -473,10 +483,10 @@
             for (const row of rows) {
                 const next = reader.entryOf(row, platform.readConfiguration(row));
                 if (next !== undefined) {
-                    adopt(next, "store");
+                    applyConfiguration(next, "store");
                 }
             }
-            takeWaves(rows);
+            applyWaveRows(rows);
         },
         onWhole: () => {},
     });
@@ -488,7 +498,7 @@
         peers,
         version: () => configuration?.version ?? 0,
         storeAgeMs: configurationWatch.ageMs,
-        onConfiguration: next => adopt(next, "peer"),
+        onConfiguration: next => applyConfiguration(next, "peer"),
     });
 
     const tableWatches = [
@@ -498,10 +508,10 @@
             store,
             table: ownerTable,
             parts: [part],
-            onRows: takeOwnerRows,
+            onRows: applyOwnerRows,
             onWhole: () => {
                 ownerRead = true;
-                watch.wake();
+                ownerWatch.wake();
             },
         }),
         watchTable({
@@ -518,7 +528,7 @@
         configurationWatch,
     ];
 
-    const watch = watchOwner({
+    const ownerWatch = watchOwner({
         clock,
         log,
         self,
@@ -527,30 +537,31 @@
         owns: () => owner !== undefined,
         isSettled: () => ownerRead && claimUnderWay === undefined,
         isResting: () =>
-            clock.monotonicMs() < claimsAgainAtMs || !membersRead && clock.monotonicMs() < claimsAnywayAtMs,
+            clock.monotonicMs() < nextClaimAtMs || !membersRead && clock.monotonicMs() < claimWithoutMembersAtMs,
         isLeaving: () => leaving,
         readOwner,
         witness: createCommitWitness({ clock, log, store, part }),
         claim,
         onAnswer: (address, { configurationVersion }) => configurationFetch.offer(address, configurationVersion),
         onOwnerAnswer: ({ pending }) => {
-            // A claimant that still reads the journal counts nothing yet.
-            ownerWorks = pending !== undefined;
+            // A claimant that is still reading the journal returns no counts.
+            isOwnerServing = pending !== undefined;
             if (pending !== undefined) {
-                ownerAtWorkAtMs = clock.monotonicMs();
-                pendingCounts = { counts: pending, atMs: ownerAtWorkAtMs };
+                ownerServingAtMs = clock.monotonicMs();
+                pendingCounts = { counts: pending, atMs: ownerServingAtMs };
             }
         },
-        onOwnRound: noteOwnership,
+        onOwnRound: recordOwnership,
         onPeersPinged: () => owner?.wake(),
     });
-    const lastAtWorkMs = (): number => ownerWorks ? Math.max(ownerAtWorkAtMs, watch.wellAtMs()) : ownerAtWorkAtMs;
+    const lastServingAtMs = (): number =>
+        isOwnerServing ? Math.max(ownerServingAtMs, ownerWatch.wellAtMs()) : ownerServingAtMs;
 
-    const doing = (): string => {
+    const currentActivity = (): string => {
         if (claimedToken !== 0) {
             return "restores";
         }
-        return claimUnderWay === undefined ? watch.doing() : "claims";
+        return claimUnderWay === undefined ? ownerWatch.doing() : "claims";
     };
 
     const readiness = watchReadiness({
@@ -559,17 +570,17 @@
         isLeaving: () => leaving,
         hasConfiguration: () => configuration !== undefined,
         owns: () => owner !== undefined,
-        wellAtMs: watch.wellAtMs,
-        ownerAtWorkAtMs: lastAtWorkMs,
+        wellAtMs: ownerWatch.wellAtMs,
+        ownerAtWorkAtMs: lastServingAtMs,
         knownOwner: () => knownOwner,
         situation: () => ({
-            doing: doing(),
+            doing: currentActivity(),
             strong: peers.isStrong(self.memberId),
             members: peers.all.size + 1,
             answering: peers.live().length,
         }),
     });
-    void enterSelf();
+    void registerSelf();
 
     const forward = createForward({
         clock,
@@ -577,16 +588,16 @@
         shard: () => owner,
         ownerAddress: () =>
             knownOwner === undefined || knownOwner.row.memberId === self.memberId ? undefined : knownOwner.row.address,
-        ownerLostMs: () => clock.monotonicMs() - Math.max(watch.wellAtMs(), lastOwnedAtMs),
-        onNoAnswer: watch.suspect,
+        ownerLostMs: () => clock.monotonicMs() - Math.max(ownerWatch.wellAtMs(), lastOwnedAtMs),
+        onNoAnswer: ownerWatch.suspect,
     });
 
     const freshCounts = (): Readonly<Record<string, number>> | undefined =>
-        pendingCounts !== undefined && clock.monotonicMs() - pendingCounts.atMs <= countsFreshMs
+        pendingCounts !== undefined && clock.monotonicMs() - pendingCounts.atMs <= maxCountsAgeMs
             ? pendingCounts.counts
             : undefined;
 
-    /** The counts that came with the newest ping, or where that was a while ago, those that the owner tells now. */
+    /** Returns the counts of the newest ping answer, or pings the owner where these are too old. */
     const counts = async (): Promise<Readonly<Record<string, number>> | undefined> => {
         const known = knownOwner;
         if (freshCounts() === undefined && known !== undefined && known.row.memberId !== self.memberId) {
@@ -598,7 +609,7 @@
         return freshCounts();
     };
 
-    const owned = (): ShardOwner => owner ?? die("unavailable", "this daemon does not own the shard");
+    const requireOwner = (): ShardOwner => owner ?? die("unavailable", "this daemon does not own the shard");
 
     return {
         dataCentre: self.dataCentre,
@@ -643,17 +654,17 @@
                 storeStalledMs: owner?.stalledMs() ?? 0,
                 configurationVersion: configuration?.version ?? 0,
                 ...(owner === undefined ? {} : { pending: owner.pending() }),
-                seenOwnerToken: owner?.fencingToken ?? watch.seenToken(),
+                seenOwnerToken: owner?.fencingToken ?? ownerWatch.seenToken(),
                 leaving,
                 lagMs: owner?.lagMs() ?? 0,
                 ...(knownOwner !== undefined && knownOwner.version > ownerVersion ? { newerOwner: knownOwner } : {}),
             }),
             submit: async submission => {
-                await owned().submit(submission);
+                await requireOwner().submit(submission);
                 return { accepted: true };
             },
-            jobState: async job => await owned().jobState(job) ?? { state: undefined },
-            cancelJob: async job => ({ known: await owned().cancel(job) }),
+            jobState: async job => await requireOwner().jobState(job) ?? { state: undefined },
+            cancelJob: async job => ({ known: await requireOwner().cancel(job) }),
             advise: request => options.advisor.advise(request),
             configuration: async () => configuration ?? die("unavailable", "no configuration is known yet"),
             handOver: async ({ token, why }) => ({
@@ -664,7 +675,7 @@
         leave: async untilMs => {
             leaving = true;
             while (owner !== undefined && clock.monotonicMs() < untilMs) {
-                if (!await giveAway(owner, "leaving")) {
+                if (!await handOverShard(owner, "leaving")) {
                     await sleep(clock, pingIntervalMs);
                 }
             }
@@ -672,7 +683,7 @@
         },
         close: () => {
             closed = true;
-            watch.close();
+            ownerWatch.close();
             readiness.close();
             loseShard("closing");
             for (const tableWatch of tableWatches) {
--- a/packages/puffinarch/src/core/shard/claimShard.ts
+++ b/packages/puffinarch/src/core/shard/claimShard.ts
@@ -1,4 +1,4 @@
-/** Claiming a shard: one conditional write of its owner's row, whose version is the fencing token, then its rows. */
+/** Claims a shard: a conditional write of its owner row, whose new version is the fencing token, and a read of the shard's rows. */
 
 import type { OwnerRow, Row, RowStore } from "../../types/cellPorts.js";
 import type { Clock, Log } from "../../types/ports.js";
@@ -8,44 +8,45 @@
 import { readAllRows } from "./readRows.js";
 import { journalTable, ownerKey, ownerTable, sequenceKey } from "./shardTables.js";
 
-/** What a claim needs. */
+/** Dependencies and limits of a claim. */
 export interface ClaimOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly store: RowStore;
     readonly part: string;
+    /** The owner row to write. */
     readonly owner: OwnerRow;
-    /** Version of the owner's row that this claim replaces; 0 where there is none. */
+    /** Version of the owner row that this claim replaces; 0 where there is none. */
     readonly seenVersion: number;
-    /** False once the claim is of no use any more. */
+    /** Returns false once the claim has to be abandoned. */
     readonly wanted: () => boolean;
-    /** Version of the owner's row, where a peer or a feed told that this claim took effect before the store's answer came. */
+    /** Returns this claim's version of the owner row once a peer or a change feed has reported it, possibly before the store's answer. */
     readonly heardToken: () => number | undefined;
-    /** Version at which this claim is known to have taken effect before; undefined where it is still to be written. */
-    readonly wonToken?: number | undefined;
-    /** The claim took effect; the rows are still to be read. */
+    /** This claim's version of the owner row where it has already taken effect; undefined where it is still to be written. */
+    readonly committedToken?: number | undefined;
+    /** Called when the claim has taken effect, before the rows are read. */
     readonly onClaimed: (fencingToken: number) => void;
-    /** Gives up once no page of rows came for this long, so that a daemon that gets on better may claim. */
+    /** Gives up once no page of rows has arrived for this long, so that a daemon with a better connection can claim. */
     readonly restorePatienceMs: number;
-    /** Gives up once reading all rows took this long, though it gets on. */
+    /** Gives up once reading all rows has taken this long, even if pages keep arriving. */
     readonly restoreWithinMs: number;
 }
 
-/** A shard that was claimed, with all its rows. */
+/** A claimed shard with all its rows. */
 export interface ClaimedShard {
     readonly fencingToken: number;
-    /** Version of the row that orders commits; 0 for none. */
+    /** Version of the sequence row, on which each commit is conditional; 0 for none. */
     readonly sequenceVersion: number;
     readonly rows: readonly Row[];
-    /** How long the store took for the claim. */
+    /** How long the store took for the claim, in ms; the timeout of one write where the claim was resumed. */
     readonly storeMs: number;
 }
 
-const retryPauseMs = 60;
-/** A store that answers 60 times slower than its usual 7 ms still makes it. */
+const claimRetryPauseMs = 60;
+/** Allows for a store 60 times slower than its usual 7 ms. */
 const claimTimeoutMs = 600;
 
-/** Reads the owner's row to learn whether a claim without an answer took effect. */
+/** Reads the owner row to find out whether a claim without an answer took effect; returns the row's version where it did. */
 const settleClaim = async ({ store, part, owner }: ClaimOptions): Promise<number | undefined> => {
     const { rows } = await store.read(ownerTable, part);
     const row = rows.find(each => each.key === ownerKey);
@@ -56,6 +57,7 @@
     return decoded.kind === "entry" && decoded.entry.claimId === owner.claimId ? row.version : undefined;
 };
 
+/** Writes the claim until its outcome is known; undefined where it had no effect, or is no longer wanted. */
 const writeClaim = async (options: ClaimOptions): Promise<number | undefined> => {
     const { clock, log, store, part, owner, seenVersion, wanted } = options;
     const key = { table: ownerTable, part, key: ownerKey };
@@ -73,7 +75,7 @@
             return heard;
         }
         if (result.outcome === "conflict") {
-            // An earlier try may have taken effect although its answer was lost.
+            // An earlier attempt may have taken effect although its answer was lost.
             try {
                 return await settleClaim(options);
             }
@@ -84,21 +86,22 @@
         else {
             log.write("warn", "claimDelayed", { part, outcome: result.outcome, reason: result.reason });
         }
-        await sleep(clock, retryPauseMs);
+        await sleep(clock, claimRetryPauseMs);
     }
     return undefined;
 };
 
 /**
- * Claims a shard; undefined where another daemon has it by now, or its rows could not be read. What a former owner still sends is refused from then on.
+ * Claims a shard and reads its rows. Returns undefined where another daemon owns the shard by now, or the rows could not be
+ * read in time. Once the claim takes effect, commits and orders of the former owner are refused by their lower fencing token.
  *
  * @example
- * const claimed = await claimShard({ clock, log, store, part: "shard-0", owner, seenVersion, wanted, heardToken, onClaimed, restorePatienceMs: 2_500, restoreWithinMs: 5_000 });
+ * const claimed = await claimShard({ clock, log, store, part: "shard-0", owner, seenVersion, wanted, reportedToken, onClaimed, restoreIdleTimeoutMs: 2_500, restoreTimeoutMs: 5_000 });
  */
 export const claimShard = async (options: ClaimOptions): Promise<ClaimedShard | undefined> => {
     const startedAtMs = options.clock.monotonicMs();
-    const fencingToken = options.wonToken ?? await writeClaim(options);
-    const storeMs = options.wonToken === undefined ? options.clock.monotonicMs() - startedAtMs : claimTimeoutMs;
+    const fencingToken = options.committedToken ?? await writeClaim(options);
+    const storeMs = options.committedToken === undefined ? options.clock.monotonicMs() - startedAtMs : claimTimeoutMs;
     if (fencingToken === undefined) {
         return undefined;
     }
--- a/packages/puffinarch/src/core/shard/ownerWatch.ts
+++ b/packages/puffinarch/src/core/shard/ownerWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the owner of a shard from another daemon: it pings the owner, asks the other daemons where the owner is silent, and
- * decides when this one claims the shard.
+ * Failure detection for the owner of a shard, run by each other daemon: it pings the owner, asks the peers when the owner does
+ * not answer, and decides when this daemon claims the shard.
  */
 
 import type { KnownOwner, MemberRow, PingAnswer } from "../../types/cellPorts.js";
@@ -12,41 +12,42 @@
 import { followerPauseMs, placeDelayMs, watcherCount } from "./probes.js";
 import { type ClaimReason, claimReasons, patienceFactor, settlingMs } from "./shortOffices.js";
 
-/** What the watch needs. */
+/** Dependencies and callbacks of an owner watch. */
 export interface OwnerWatchOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly self: MemberRow;
     readonly peers: Peers;
-    /** The newest owner's row that is known. */
+    /** The newest owner row that was read or received from a peer. */
     readonly known: () => KnownOwner | undefined;
     /** True while this daemon owns the shard. */
     readonly owns: () => boolean;
-    /** True once the owner's row was read, and while no claim is under way. */
+    /** True once the owner row was read, while no claim is in progress. */
     readonly isSettled: () => boolean;
     /**
-     * True while it leaves the claim to others: after a restore that it gave up, or before it has read who else there is. It
-     * goes on asking who owns the shard.
+     * True while this daemon must not claim, but still watches the owner: for a time after it gave up a restore, and before it
+     * has read the member rows.
      */
     readonly isResting: () => boolean;
-    /** True while this daemon claims no shard any more. */
+    /** True once this daemon is shutting down and claims no shard any more. */
     readonly isLeaving: () => boolean;
-    /** Reads the owner's row again; false where the store did not answer within the time. */
+    /** Reads the owner row again; false where the store did not answer within the time. */
     readonly readOwner: (withinMs: number) => Promise<boolean>;
-    /** Tells a lost owner from one that is only out of this daemon's reach. */
+    /** Shows whether the owner still commits, and so distinguishes a failed owner from one that only this daemon cannot reach. */
     readonly witness: CommitWitness;
+    /** Claims the shard from the owner whose row has version `seenVersion`; 0 where there is none. */
     readonly claim: (seenVersion: number, why: ClaimReason) => Promise<unknown>;
-    /** A daemon answered, which may have a newer configuration. */
+    /** Called for each ping answer; the peer may have a newer configuration. */
     readonly onAnswer: (address: string, answer: PingAnswer) => void;
-    /** The owner answered. */
+    /** Called for each ping answer of the owner. */
     readonly onOwnerAnswer: (answer: PingAnswer) => void;
     /** Called in each round while this daemon owns the shard. */
     readonly onOwnRound: () => void;
-    /** After the peers were pinged. */
+    /** Called after pings to peers were sent. */
     readonly onPeersPinged: () => void;
 }
 
-/** What the newest look at the owner led to. */
+/** Results of one round of the watch; they are logged while the shard has no serving owner. */
 export const watchSteps = {
     pings: "pings",
     readsOwnerRow: "readsOwnerRow",
@@ -63,80 +64,91 @@
 
 /** A watch of the owner. */
 export interface OwnerWatch {
-    /** What the newest look at the owner led to. */
+    /** Returns the result of the newest round. */
     doing(): WatchStep;
-    /** Local time at which the owner was last known to be well; an answer vouches for it until the next ping is due. */
+    /** Local time at which the owner was last known to be healthy; an answer counts until the next ping is due. */
     wellAtMs(): number;
-    /** A call to the owner failed: it is pinged at once, also where that is not due. */
+    /** Reports a failed call to the owner, which is then pinged at once, before the next ping is due. */
     suspect(): void;
-    /** Token of the owner that answered within the last moments; 0 for none. */
+    /** Fencing token of the owner where it has answered recently; 0 otherwise. */
     seenToken(): number;
-    /** The owner's row changed. */
+    /** Resets the state of the failure detection after a change of the owner row. */
     reset(): void;
-    /** Begins the next round at once. */
+    /** Starts the next round at once. */
     wake(): void;
     close(): void;
 }
 
-/** An owner pings its lanes to the advisor every second round; a daemon pings each of its neighbours once in ten. */
-const ownerPingRounds = 2;
+/**
+ * An owner pings the daemons through which it calls the advisor, its lanes, every second round. Any other daemon pings each of
+ * its neighbours once in ten rounds.
+ */
+const lanePingRounds = 2;
 const neighbourPingRounds = 10;
-/** An owner that still reads its rows is asked this soon whether it has them; a takeover takes 0.2 to 0.5 s. */
-const restoringPauseMs = 500;
-/** Rounds begin this much early or late; a ping that is due by then is sent. */
+/** Longest interval between pings of an owner that is still reading its rows; a takeover takes 0.2 to 0.5 s. */
+const restoringPingIntervalMs = 500;
+/** A ping that becomes due within this time is sent in the current round, since timers fire this much early or late. */
 const timerSlackMs = 50;
-/** After a ping that failed the next one comes sooner. */
+/** Interval of the rounds while the owner leaves pings unanswered. */
 const failedPingIntervalMs = 50;
-/** Pings in a row without any answer before the owner counts as lost. */
+/** Consecutive unanswered pings after which the owner counts as lost. */
 const silentPingsToClaim = 2;
-/** Of the pings that fail after these, one a second or so is logged. */
+/** Further unanswered pings are logged at most once in this time. */
 const silenceLogPauseMs = 1_000;
-/** An owner that has not answered by then is asked over another connection too; both must fail. */
-const secondPingMs = 120;
-/** How long a peer may take to say whether it sees the owner. */
-const peerOpinionMs = 200;
-/** Once half of the peers have said so, the others have this much longer; those that are gone with the owner never do. */
-const restOpinionMs = 50;
-/** An answer from the owner within this time speaks against a peer that finds it silent. */
-const freshAnswerMs = 450;
-/** Each place in the order of candidates waits this much longer. */
+/** An owner that has not answered within this time is pinged over a second connection too; both pings must fail. */
+const secondPingAfterMs = 120;
+/** Timeout of a call that asks a peer whether it has an answer from the owner. */
+const peerAnswerTimeoutMs = 200;
+/** Once half of the peers have answered, the others have this much longer; peers that failed together with the owner never answer. */
+const lateAnswerWaitMs = 50;
+/** Age up to which an answer from the owner counts when a peer that cannot reach the owner asks whether it is up. */
+const maxAnswerAgeMs = 450;
+/** Each candidate waits this much longer to claim than the previous one in the claim order. */
 const rankDelayMs = 120;
 /**
- * Where a daemon has only just learnt who else answers, each place waits for so many answers of the store: the claim of the
- * one before, which may queue behind what daemons write at their start, the news of it, and the next one's read.
+ * Store response times by which each rank delays its claim on a daemon that has not seen a serving owner yet: the claim of the
+ * previous candidate, which may queue behind the writes of starting daemons, the change feed, and this daemon's own read.
  */
-const storeAnswersARank = 4;
-const longestRankDelayMs = 1_000;
-/** More than this in all is not waited for them: those before may not be able to claim. */
-const longestStoreWaitMs = 5_000;
-/** A VM that is weaker than others waits this much longer than they do; a takeover by one of them takes half of it. */
+const storeAnswersPerRank = 4;
+const maxRankDelayMs = 1_000;
+/** Most that these delays add in total, since the candidates with a better rank may be unable to claim. */
+const maxStoreWaitMs = 5_000;
+/** Weak VMs wait this much longer than strong ones; a takeover by a strong VM takes half of it. */
 const weakDelayMs = 2_000;
-/** A candidate that reaches too few of its peers waits this much longer, so that a cut-off minority does not claim. */
+/**
+ * A candidate that reaches less than half of the peers it asks claims only after the owner has been lost for this long and its
+ * commits have stopped, so that a minority cut off by a network partition does not claim.
+ */
 const minorityDelayMs = 2_500;
-const minorityAsks = 2;
+/** Pings that such a candidate sends to the owner right before its claim. */
+const minorityOwnerPings = 2;
 /**
- * An owner whose commits found no answer for this long is replaced by a peer that the store answers quickly. Of the copies
- * that it sends by then, at 0, 80 and 240 ms, each may lose its answer one time in three.
+ * An owner whose commits have been unanswered for this long is replaced by a peer that the store answers quickly. By then the
+ * owner has sent copies at 0, 80 and 240 ms, and each answer may be lost with a probability of one in three.
  */
 const stalledOwnerMs = 400;
-/** A store that answers a read, which takes some 6 ms, within this time is well, and an owner that waits for it is not. */
+/**
+ * A store that answers a read, which usually takes 6 ms, within this time is healthy; an owner that still waits for it is at
+ * fault itself.
+ */
 const quickReadMs = 60;
 /**
- * Where the store did not answer this daemon either within this time, the owner's first commit after the outage is waited
- * for: a takeover costs all tickets and about half a second.
+ * A stalled owner is replaced only once the store has answered this daemon quickly for longer than this. After an outage of the
+ * store the owner's next commit is awaited instead, since a takeover costs all tickets and about half a second.
  */
-const storeBackMs = 700;
-/** A store that answers a read within this time can carry a claim. */
-const claimReadMs = 800;
+const storeRecoveredMs = 700;
+/** Timeout of the read before a claim; a store that does not answer it is not sent the claim. */
+const claimReadTimeoutMs = 800;
 
 /**
- * Whether a daemon that answers has the shard by the owner's row. A claimant learns last that its claim took effect: where
- * the store takes a quarter of a second for an answer, peers that went by the token alone replaced one after the other.
+ * Returns whether the daemon that answered owns the shard by the owner row. The claim id counts as well as the token, because a
+ * claimant is the last to receive the answer that its claim took effect: with the token alone and a store that takes a quarter
+ * of a second to answer, each new owner is replaced before it knows its token.
  */
 const holdsShard = (answer: PingAnswer, { row, version }: KnownOwner): boolean =>
     answer.ownedToken === version || answer.claimId === row.claimId;
 
-/** The first answer of several calls; undefined once all have failed. */
+/** Resolves with the first answer of several calls, or with undefined once all have failed. */
 const firstAnswer = <T>(calls: readonly Promise<T | undefined>[]): Promise<T | undefined> =>
     new Promise(resolve => {
         const settle = (answer: T | undefined): void => {
@@ -151,92 +163,100 @@
  * Starts to watch the owner of a shard.
  *
  * @example
- * const watch = watchOwner({ clock, log, self, peers, known, owns, isSettled, isResting, isLeaving, readOwner, witness, claim, onAnswer, onOwnerAnswer, onOwnRound, onPeersPinged });
+ * const watch = watchOwner({ clock, log, self, peers, known, owns, isSettled, isBackingOff, isLeaving, readOwner, commitMonitor, claim, onAnswer, onOwnerAnswer, onOwnRound, onPeersPinged });
  */
 export const watchOwner = (options: OwnerWatchOptions): OwnerWatch => {
     const { clock, log, self, peers, known, owns, isSettled, isResting, isLeaving, readOwner, witness, claim } =
         options;
     let closed = false;
-    /** Local time at which the owner's row changed. */
+    /** Local time of the last change of the owner row. */
     let changedAtMs = -Infinity;
     let silentPings = 0;
     let lostAtMs: number | undefined;
     let answeredAtMs = -Infinity;
-    /** For how long the newest answer stands for the owner, beyond the usual interval. */
-    let vouchedMs = 0;
+    /** How long after its arrival the newest answer counts as a sign of health: the part of the ping interval above `pingIntervalMs`. */
+    let answerValidMs = 0;
     let askedAtMs = -Infinity;
     let suspectedAtMs = -Infinity;
-    /** Whether the owner said in its newest answer that it has all its rows. */
-    let ownerWorks = false;
-    /** True once an owner with all its rows has answered. */
-    let hasSeenWork = false;
-    let endPause: (() => void) | undefined;
+    /** Whether the owner had read all its rows by its newest answer. */
+    let isOwnerServing = false;
+    /** True once any owner that had read all its rows has answered. */
+    let hasSeenServingOwner = false;
+    let wakeLoop: (() => void) | undefined;
     let step: WatchStep = watchSteps.readsOwnerRow;
     let silenceLoggedAtMs = -Infinity;
     /** Local time of the last read that the store did not answer quickly. */
     let slowReadAtMs = -Infinity;
-    /** Local time of the first of the reads in a row that it answered quickly while the owner found no answer. */
-    let quickReadsFromMs: number | undefined;
+    /** Local time of the first of the consecutive quick reads while the owner's commits were unanswered; undefined for none. */
+    let quickReadsSinceMs: number | undefined;
 
     const mayClaim = (): boolean => isSettled() && !isResting() && !isLeaving() && !owns();
 
-    const versionNow = (): number => known()?.version ?? 0;
+    const ownerVersion = (): number => known()?.version ?? 0;
 
-    /** An owner that has settled is missed as soon as any other. */
-    const patience = (): number => {
+    /** Factor on the timeouts for the current owner; 1 once its settling time is over. */
+    const timeoutScale = (): number => {
         const row = known()?.row ?? {};
         return clock.monotonicMs() - changedAtMs < settlingMs(row) ? patienceFactor(row) : 1;
     };
 
-    /** Whether a peer had an answer from the owner within the last moments; then the fault is on this side. */
-    const peersSeeOwner = async (version: number): Promise<{ readonly seen: boolean; readonly minority: boolean; }> => {
-        const others = peers.opinions(known());
+    /**
+     * Asks peers whether the owner has answered them recently, in which case only this daemon cannot reach it. `minority` is true
+     * where less than half of the peers answer.
+     */
+    const askPeersAboutOwner = async (
+        version: number,
+    ): Promise<{ readonly seen: boolean; readonly minority: boolean; }> => {
+        const others = peers.observers(known());
         const expected = others.length;
         const answered: PingAnswer[] = [];
-        let noteHalf: () => void = () => {};
+        let reportHalf: () => void = () => {};
         const half = new Promise<void>(resolve => {
-            noteHalf = resolve;
+            reportHalf = resolve;
         });
         const all = Promise.all(others.map(async peer => {
-            const answer = await peers.ping(peer, { timeoutMs: peerOpinionMs });
+            const answer = await peers.ping(peer, { timeoutMs: peerAnswerTimeoutMs });
             if (answer !== undefined && answered.push(answer) >= expected / 2) {
-                noteHalf();
+                reportHalf();
             }
         }));
-        await Promise.race([all, half.then(() => sleep(clock, restOpinionMs))]);
+        await Promise.race([all, half.then(() => sleep(clock, lateAnswerWaitMs))]);
         return {
             seen: version > 0 && answered.some(answer => answer.seenOwnerToken === version),
             minority: 2 * answered.length < expected,
         };
     };
 
-    /** How long this daemon leaves the claim to others: strong VMs go first, in an order that all compute alike. */
-    const turnMs = (rankMs = rankDelayMs): number => {
+    /**
+     * How long this daemon delays its claim in favour of candidates with a better rank. Strong VMs come first; all daemons compute
+     * the same order.
+     */
+    const claimDelayMs = (rankMs = rankDelayMs): number => {
         const strong = peers.isStrong(self.memberId);
-        const alike = peers.claimants(known()).filter(candidate => candidate.strong === strong);
-        const place = alike.findIndex(({ memberId }) => memberId === self.memberId);
-        const before = alike.slice(0, place).filter(({ memberId }) => !peers.isSilent(memberId));
-        return (strong ? 0 : weakDelayMs) + placeDelayMs(before.length, rankMs);
+        const sameStrength = peers.claimants(known()).filter(candidate => candidate.strong === strong);
+        const rank = sameStrength.findIndex(({ memberId }) => memberId === self.memberId);
+        const ahead = sameStrength.slice(0, rank).filter(({ memberId }) => !peers.isSilent(memberId));
+        return (strong ? 0 : weakDelayMs) + placeDelayMs(ahead.length, rankMs);
     };
 
     const watchesOwner = (): boolean =>
         peers.claimants(known()).slice(0, watcherCount).some(({ memberId }) => memberId === self.memberId);
 
-    /** The first in the order of claims ping the owner at each round; the others, of whom there may be hundreds, share a rate. */
+    /** The first candidates in the claim order ping the owner each round; the others, possibly hundreds, share a fixed total rate. */
     const ownerPauseMs = (): number => {
         const pauseMs = watchesOwner()
             ? pingIntervalMs
             : followerPauseMs(peers.claimants(known()).length, pingIntervalMs);
-        return ownerWorks ? pauseMs : Math.min(pauseMs, restoringPauseMs);
+        return isOwnerServing ? pauseMs : Math.min(pauseMs, restoringPingIntervalMs);
     };
 
     /**
-     * A cut may just have healed: once the store answers, a minority asks the owner before it replaces it, and once more
-     * where the first call was lost to a connection that was begun during the cut.
+     * Pings the owner before a minority claims the shard, since a network partition may just have healed when the store answers
+     * again. The second try is for a first call that was lost on a connection opened during the partition.
      */
     const ownerAnswers = async (version: number): Promise<boolean> => {
         const owner = known();
-        for (let tries = 0; owner !== undefined && tries < minorityAsks; tries += 1) {
+        for (let tries = 0; owner !== undefined && tries < minorityOwnerPings; tries += 1) {
             const answer = await peers.ping(owner.row);
             if (answer !== undefined) {
                 return holdsShard(answer, { row: owner.row, version });
@@ -245,22 +265,23 @@
         return false;
     };
 
-    /** Whether this VM's former process owned the shard, and is surely over. */
-    const isFormerSelf = (): boolean => {
+    /** Whether the shard is owned by an earlier process of this daemon, which has certainly ended. */
+    const wasOwnerBeforeRestart = (): boolean => {
         const row = known()?.row;
         return row?.memberId === self.memberId && row.incarnation !== self.incarnation;
     };
 
     /**
-     * Nobody had answered a daemon that has just started; claims of all at once would queue in a slow store. One that has seen
-     * an owner at work knows its peers, and of those before it many may be refused by the store.
+     * Delay of a claim, in ms, on a daemon that has not seen a serving owner since its start, and so cannot know which peers
+     * answer: simultaneous claims of all daemons would queue in a slow store. A daemon that has seen a serving owner knows its
+     * peers and adds no delay, because the store may refuse many of the candidates with a better rank.
      */
-    const turnAtStartMs = (storeMs: number): number => {
-        if (hasSeenWork) {
+    const startupClaimDelayMs = (storeMs: number): number => {
+        if (hasSeenServingOwner) {
             return 0;
         }
-        const rankMs = Math.min(longestRankDelayMs, storeAnswersARank * storeMs);
-        return Math.min(turnMs(rankMs), turnMs() + longestStoreWaitMs);
+        const rankMs = Math.min(maxRankDelayMs, storeAnswersPerRank * storeMs);
+        return Math.min(claimDelayMs(rankMs), claimDelayMs() + maxStoreWaitMs);
     };
 
     const considerClaim = async (why: ClaimReason): Promise<void> => {
@@ -268,18 +289,18 @@
             step = isResting() ? watchSteps.rests : watchSteps.mayNotClaim;
             return;
         }
-        const version = versionNow();
-        if (isFormerSelf() && peers.isStrong(self.memberId)) {
+        const version = ownerVersion();
+        if (wasOwnerBeforeRestart() && peers.isStrong(self.memberId)) {
             await claim(version, why);
             return;
         }
         lostAtMs ??= clock.monotonicMs();
         const lostForMs = (): number => clock.monotonicMs() - (lostAtMs ?? clock.monotonicMs());
-        if (lostForMs() < turnMs()) {
+        if (lostForMs() < claimDelayMs()) {
             step = watchSteps.waitsItsTurn;
             return;
         }
-        const { seen, minority } = await peersSeeOwner(version);
+        const { seen, minority } = await askPeersAboutOwner(version);
         if (seen) {
             step = watchSteps.peerSeesOwner;
             lostAtMs = clock.monotonicMs();
@@ -289,58 +310,58 @@
             step = watchSteps.minority;
             return;
         }
-        // A claim that is sent into an outage might take effect after it, when nobody needs it.
+        // A claim sent during an outage of the store might take effect after it, when it is no longer needed.
         const askedAtMs = clock.monotonicMs();
         step = step === watchSteps.storeSilent ? step : watchSteps.readsOwnerRow;
-        if (!await readOwner(claimReadMs)) {
+        if (!await readOwner(claimReadTimeoutMs)) {
             step = watchSteps.storeSilent;
             return;
         }
         step = watchSteps.waitsItsTurn;
         if (
-            lostForMs() < turnAtStartMs(clock.monotonicMs() - askedAtMs)
+            lostForMs() < startupClaimDelayMs(clock.monotonicMs() - askedAtMs)
             || minority && await ownerAnswers(version)
         ) {
             return;
         }
-        if (versionNow() === version && !owns()) {
+        if (ownerVersion() === version && !owns()) {
             step = watchSteps.claims;
             await claim(version, why);
         }
     };
 
     /**
-     * An owner that answers its peers and cannot reach the store gives way to one that can. A daemon that does not watch it all
-     * the time knows the store only from when it asked first: without that, the end of an outage of 4 s made one of 25 such
-     * daemons, a weak VM, claim from a sound owner; three more owners followed within 14 s.
+     * Claims the shard from an owner that answers its peers but cannot reach the store, where this daemon can. A daemon that does
+     * not ping the owner each round measures the store's health from its own first quick read: otherwise, at the end of an outage
+     * of 4 s, a weak VM of 25 such daemons claims from a healthy owner, and three more owners follow within 14 s.
      */
-    const replaceStalled = async (version: number, stalledMs: number): Promise<void> => {
-        if (!mayClaim() || stalledMs < stalledOwnerMs * patience() + turnMs()) {
-            quickReadsFromMs = undefined;
+    const replaceStalledOwner = async (version: number, stalledMs: number): Promise<void> => {
+        if (!mayClaim() || stalledMs < stalledOwnerMs * timeoutScale() + claimDelayMs()) {
+            quickReadsSinceMs = undefined;
             return;
         }
         if (!await readOwner(quickReadMs)) {
             slowReadAtMs = clock.monotonicMs();
-            quickReadsFromMs = undefined;
+            quickReadsSinceMs = undefined;
             return;
         }
-        quickReadsFromMs ??= clock.monotonicMs();
-        const wellFromMs = watchesOwner() ? slowReadAtMs : quickReadsFromMs;
-        if (clock.monotonicMs() - wellFromMs > storeBackMs && versionNow() === version && !owns()) {
+        quickReadsSinceMs ??= clock.monotonicMs();
+        const storeHealthyFromMs = watchesOwner() ? slowReadAtMs : quickReadsSinceMs;
+        if (clock.monotonicMs() - storeHealthyFromMs > storeRecoveredMs && ownerVersion() === version && !owns()) {
             await claim(version, claimReasons.ownerStalled);
         }
     };
 
-    const noteOwnerAnswer = (): void => {
+    const recordOwnerAnswer = (): void => {
         answeredAtMs = clock.monotonicMs();
-        vouchedMs = ownerPauseMs() - pingIntervalMs;
+        answerValidMs = ownerPauseMs() - pingIntervalMs;
         silentPings = 0;
         lostAtMs = undefined;
         witness.reset();
         step = watchSteps.pings;
     };
 
-    /** A cut fails pings by the dozen each second; the count tells how many there were. */
+    /** Limits the log rate, since a partition fails dozens of pings a second; the logged count includes those not logged. */
     const logSilence = (owner: string, kind: ErrorKind): void => {
         const nowMs = clock.monotonicMs();
         if (silentPings <= silentPingsToClaim || nowMs - silenceLoggedAtMs >= silenceLogPauseMs) {
@@ -349,9 +370,9 @@
         }
     };
 
-    /** Asks the owner, and once more over another connection where it takes long. */
+    /** Pings the owner, and a second time over another connection where the first answer is slow. */
     const askOwner = async (row: MemberRow): Promise<PingAnswer | undefined> => {
-        const limitMs = pingTimeoutMs * patience();
+        const limitMs = pingTimeoutMs * timeoutScale();
         const ask = async (timeoutMs: number): Promise<PingAnswer | undefined> => {
             let silence: ErrorKind | undefined;
             const answer = await peers.ping(row, { timeoutMs, onSilent: kind => silence = kind });
@@ -362,12 +383,12 @@
         };
         const silences: ErrorKind[] = [];
         const first = ask(limitMs);
-        const early = await Promise.race([first, sleep(clock, secondPingMs).then(() => "late" as const)]);
+        const early = await Promise.race([first, sleep(clock, secondPingAfterMs).then(() => "late" as const)]);
         const answer = early === "late"
-            ? await firstAnswer([first, ask(limitMs - secondPingMs)])
+            ? await firstAnswer([first, ask(limitMs - secondPingAfterMs)])
             : early;
         if (answer === undefined) {
-            vouchedMs = Math.max(0, Math.min(vouchedMs, askedAtMs - answeredAtMs));
+            answerValidMs = Math.max(0, Math.min(answerValidMs, askedAtMs - answeredAtMs));
             for (const kind of silences) {
                 silentPings += 1;
                 logSilence(row.memberId, kind);
@@ -380,30 +401,31 @@
         const startedAtMs = clock.monotonicMs();
         askedAtMs = startedAtMs;
         const answer = await askOwner(row);
-        if (answer !== undefined && versionNow() === version) {
+        if (answer !== undefined && ownerVersion() === version) {
             options.onAnswer(row.address, answer);
             if (holdsShard(answer, { row, version })) {
-                ownerWorks = answer.pending !== undefined;
-                noteOwnerAnswer();
-                hasSeenWork ||= ownerWorks;
+                isOwnerServing = answer.pending !== undefined;
+                recordOwnerAnswer();
+                hasSeenServingOwner ||= isOwnerServing;
                 options.onOwnerAnswer(answer);
-                await replaceStalled(version, answer.storeStalledMs);
+                await replaceStalledOwner(version, answer.storeStalledMs);
                 return;
             }
-            // The process is another one, or gave the shard up.
+            // Another process answered, or the owner has given the shard up.
             const tookMs = clock.monotonicMs() - startedAtMs;
             silentPings += answer.incarnation !== row.incarnation || tookMs < pingTimeoutMs ? 1 : 0;
         }
-        if (versionNow() === version && silentPings >= silentPingsToClaim) {
+        if (ownerVersion() === version && silentPings >= silentPingsToClaim) {
             await considerClaim(claimReasons.ownerSilent);
         }
     };
 
-    const wellAtMs = (): number => Math.min(clock.monotonicMs(), answeredAtMs + vouchedMs);
+    const wellAtMs = (): number => Math.min(clock.monotonicMs(), answeredAtMs + answerValidMs);
 
     /**
-     * Asks the owner at once, unless that was done just now. Without the limit each unanswered ping of a daemon that does not ask the
-     * owner, as it owns the shard or knows no owner, would begin the next round: thousands of pings a second while its peers are down.
+     * Pings the owner at once, at most once per ping interval. Without the limit, on a daemon that does not ping the owner because
+     * it owns the shard or knows no owner, each unanswered ping would start another round: thousands of pings a second while its
+     * peers are down.
      */
     const suspect = (): void => {
         const nowMs = clock.monotonicMs();
@@ -412,12 +434,13 @@
         }
         suspectedAtMs = nowMs;
         askedAtMs = -Infinity;
-        endPause?.();
+        wakeLoop?.();
     };
 
     /**
-     * A peer that answered before and does not now may be on the other side of a cut, with the owner: 18 of 97 daemons that were
-     * cut off said on the fakes that they were not ready after 1.4 to 1.7 s, after 0.5 to 0.8 s with this.
+     * Pings peers, and the owner as soon as a peer stops answering: both may be on the other side of a network partition. In a
+     * simulation with 18 of 97 daemons cut off, these then report that they are not ready after 0.5 to 0.8 s in place of 1.4 to
+     * 1.7 s.
      */
     const pingPeers = (pinged: readonly MemberRow[]): void => {
         for (const peer of pinged) {
@@ -434,25 +457,28 @@
         options.onPeersPinged();
     };
 
-    const withNextOfRest = (pinged: readonly MemberRow[]): readonly MemberRow[] => {
-        const next = peers.nextOfRest(pinged);
+    const withNextRemaining = (pinged: readonly MemberRow[]): readonly MemberRow[] => {
+        const next = peers.nextRemaining(pinged);
         return next === undefined ? pinged : [...pinged, next];
     };
 
-    /** One or two of the neighbours in each round, so that news arrive all the time and work comes evenly. */
+    /**
+     * Pings at most one neighbour in each round, which spreads the load and the arrival of updates evenly. The last round of each
+     * cycle pings one of the remaining members instead.
+     */
     const pingNeighbours = (round: number): void => {
         const turn = round % neighbourPingRounds;
         const neighbours = peers.neighbours();
         const due = neighbours.filter((_peer, index) => index % neighbourPingRounds === turn);
-        pingPeers(turn === neighbourPingRounds - 1 ? withNextOfRest(neighbours).slice(neighbours.length) : due);
+        pingPeers(turn === neighbourPingRounds - 1 ? withNextRemaining(neighbours).slice(neighbours.length) : due);
     };
 
-    /** The owner pings its lanes to the advisor; the others ping the owner. */
+    /** One round: the owner pings its lanes to the advisor, any other daemon pings the owner and neighbours. */
     const watchOnce = async (round: number): Promise<void> => {
         if (owns()) {
             options.onOwnRound();
-            if (round % ownerPingRounds === 0) {
-                pingPeers(withNextOfRest(peers.lanes(versionNow())));
+            if (round % lanePingRounds === 0) {
+                pingPeers(withNextRemaining(peers.lanes(ownerVersion())));
             }
             return;
         }
@@ -467,16 +493,16 @@
             pingNeighbours(round);
             return;
         }
-        const lost = isFormerSelf() ? claimReasons.restarted : claimReasons.lost;
+        const lost = wasOwnerBeforeRestart() ? claimReasons.restarted : claimReasons.lost;
         await considerClaim(owner === undefined ? claimReasons.noOwner : lost);
-        // Where a claim did not succeed, a peer may know who has the shard.
-        pingPeers(owns() ? [] : withNextOfRest(peers.neighbours()));
+        // After a failed claim a peer may know the new owner.
+        pingPeers(owns() ? [] : withNextRemaining(peers.neighbours()));
     };
 
-    const pause = (delayMs: number): Promise<void> =>
+    const pauseUntilWoken = (delayMs: number): Promise<void> =>
         new Promise(resolve => {
             const cancel = clock.setTimer(delayMs, resolve);
-            endPause = () => {
+            wakeLoop = () => {
                 cancel();
                 resolve();
             };
@@ -488,10 +514,10 @@
                 await watchOnce(round);
             }
             catch (error) {
-                // Without this watch the daemon would never take over again.
+                // The loop must go on, or this daemon would never claim the shard again.
                 log.write("error", "ownerWatchFailed", { ...failureOf(error) });
             }
-            await pause(silentPings > 0 && !owns() ? failedPingIntervalMs : pingIntervalMs);
+            await pauseUntilWoken(silentPings > 0 && !owns() ? failedPingIntervalMs : pingIntervalMs);
         }
     };
 
@@ -500,22 +526,22 @@
         doing: () => step,
         wellAtMs,
         seenToken: () =>
-            silentPings === 0 && clock.monotonicMs() - answeredAtMs < freshAnswerMs * patience()
-                ? versionNow()
+            silentPings === 0 && clock.monotonicMs() - answeredAtMs < maxAnswerAgeMs * timeoutScale()
+                ? ownerVersion()
                 : 0,
         suspect,
         reset: () => {
-            // What the former owner's answer stood for until now still counts: a takeover leaves no daemon without an owner.
+            // The former owner's answer still counts up to now, so that a takeover does not make a daemon report that it has no owner.
             answeredAtMs = wellAtMs();
-            vouchedMs = 0;
-            ownerWorks = false;
+            answerValidMs = 0;
+            isOwnerServing = false;
             askedAtMs = -Infinity;
             changedAtMs = clock.monotonicMs();
             silentPings = 0;
             lostAtMs = undefined;
             witness.reset();
         },
-        wake: () => endPause?.(),
+        wake: () => wakeLoop?.(),
         close: () => {
             closed = true;
         },
--- a/packages/puffinarch/src/core/shard/peers.ts
+++ b/packages/puffinarch/src/core/shard/peers.ts
@@ -1,4 +1,4 @@
-/** The other daemons of a cell: who they are, which of them answer, and which are about to stop. */
+/** The other daemons of a cell: their member rows, which of them answer pings, and which are about to stop. */
 
 import type {
     KnownOwner,
@@ -12,89 +12,93 @@
 import type { Clock, Log } from "../../types/ports.js";
 import { type ErrorKind, failureOf } from "../../utils/errors.js";
 import { decodeMember } from "./memberRows.js";
-import { type ClaimCandidate, claimOrder, laneCount, neighbourCount, newsOrder, opinionCount } from "./probes.js";
+import { type ClaimCandidate, claimOrder, laneCount, neighbourCount, newsOrder, observerCount } from "./probes.js";
 import type { RowReader } from "./rowReader.js";
 
-/** What the table of peers needs. */
+/** Dependencies of the table of peers. */
 export interface PeersOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly self: MemberRow;
     readonly members: MemberPort;
     readonly reader: RowReader;
-    /** Version of the newest owner's row that is known; 0 for none. */
+    /** Version of the newest owner row that is known; 0 for none. */
     readonly ownerVersion: () => number;
-    /** A peer knows of a newer owner. */
+    /** Called when a peer's ping answer contains a newer owner row. */
     readonly onOwner: (owner: KnownOwner) => void;
 }
 
-/** What one ping may set. */
+/** Options of a ping. */
 export interface PingOptions {
     readonly timeoutMs?: number;
+    /** Called with the kind of the error where no answer came. */
     readonly onSilent?: (kind: ErrorKind) => void;
 }
 
-/** What one call may set. */
+/** Options of a call. */
 export interface AskOptions {
     readonly timeoutMs: number;
-    /** How long an answer may take while it keeps coming; `timeoutMs` where it is left out. */
+    /** Longest time for an answer of which data keeps arriving; `timeoutMs` where it is left out. */
     readonly longestMs?: number;
     readonly onSilent?: ((kind: ErrorKind) => void) | undefined;
 }
 
-/** The other daemons. */
+/** The table of the other daemons of a cell. */
 export interface Peers {
     readonly all: ReadonlyMap<string, MemberRow>;
-    /** The daemons that may claim the shard after the owner of this version, this one included, in their order. */
+    /** Returns the daemons that may claim the shard after this owner, this daemon included, in the claim order. */
     claimants(owner: KnownOwner | undefined): readonly ClaimCandidate[];
-    /** Whom to ask whether they see the owner: those that watch it, and others. */
-    opinions(owner: KnownOwner | undefined): readonly MemberRow[];
-    /** Whom an owner pings, since they are its lanes to the advisor: those that answer first, strong ones before weak ones. */
+    /** Returns the daemons to ask whether the owner answers them: its watchers and a few others. */
+    observers(owner: KnownOwner | undefined): readonly MemberRow[];
+    /**
+     * Returns the daemons through which the owner of this version calls the advisor, which it therefore pings: those that answer
+     * come first, strong ones before weak ones.
+     */
     lanes(version: number): readonly MemberRow[];
-    /** Whom another daemon pings for news. */
+    /** Returns the daemons that a daemon pings to receive newer owner rows and configurations. */
     neighbours(): readonly MemberRow[];
-    /** Of the daemons that are not among these, the one whose turn it is, so that each is heard of now and then. */
-    nextOfRest(pinged: readonly MemberRow[]): MemberRow | undefined;
-    /** Whether a daemon left its newest ping unanswered. */
+    /** Returns the next of the daemons that are not in `pinged`, round robin, so that each of them is pinged from time to time. */
+    nextRemaining(pinged: readonly MemberRow[]): MemberRow | undefined;
+    /** Returns whether a daemon left its newest ping unanswered. */
     isSilent(memberId: string): boolean;
-    /** New or changed entries of daemons. */
+    /** Applies new, changed and removed member rows. */
     take(rows: readonly Row[]): void;
-    /** Calls a daemon; undefined where it gave no answer. */
+    /** Calls a daemon; undefined where the call failed. */
     ask<N extends MemberCallName>(
         address: string,
         name: N,
         input: MemberCalls[N]["input"],
         options: AskOptions,
     ): Promise<MemberCalls[N]["output"] | undefined>;
-    /** Pings a peer and notes that it answers, whether it is leaving, and what it knows of the owner. */
+    /** Pings a peer and records whether it answers, whether it is leaving, and a newer owner row; undefined where the call failed. */
     ping(peer: MemberRow, options?: PingOptions): Promise<PingAnswer | undefined>;
-    /** Ids of the daemons that answered lately, this one first. */
+    /** Returns the ids of the daemons that answered recently, this daemon first. */
     live(): readonly string[];
     isLeaving(peerId: string): boolean;
-    /** Whether a daemon, this one included, has about as much processor time and network as the best of all. */
+    /** Returns whether a daemon, this one included, has at least half the processor time and network of the strongest. */
     isStrong(memberId: string): boolean;
 }
 
-/** Between two pings of the owner. */
+/** Interval between two pings of the owner by a watcher. */
 export const pingIntervalMs = 200;
-/** An answer takes some 10 ms; a VM that is 5 times slowed still makes it. */
+/** An answer takes about 10 ms; the timeout allows for a VM that is slowed down five times. */
 export const pingTimeoutMs = 350;
 /**
- * A VM with less than this share of what the strongest has takes a shard only where no stronger one does: with 246 workers,
- * one of 0.32 cores on 10 Mbit/s needed 0.7 s to restore and was replaced before its first looks were answered.
+ * A VM with less than this share of the strongest VM's resources claims a shard only where no stronger VM does. With 246
+ * workers, a VM of 0.32 cores on 10 Mbit/s needs 0.7 s to restore and is replaced before the workers answer its first calls.
  */
 const strongShare = 0.5;
-/** A peer that missed two pings in a row is not counted on. */
+/** A peer that has not answered for this long, about two missed pings, is not considered live. */
 const liveMs = 3 * pingIntervalMs;
 
 /**
- * Nobody removes the entry of a VM that is gone. One that left the first and the last of its pings unanswered over this long,
- * far longer than any cut, and all between them, is not waited for any more: with six of nine VMs gone each takeover took
- * 2.7 s in place of 0.2 s, and with all strong ones gone 2.2 s.
+ * The member row of a VM that has gone is never removed. A daemon that has left all pings unanswered for this long, far longer
+ * than any network partition lasts, is therefore left out of the claim order. Otherwise each takeover takes 2.7 s in place of
+ * 0.2 s with six of nine VMs gone, and 2.2 s with all strong VMs gone.
  */
-const goneMs = 60_000;
+const goneAfterMs = 60_000;
 
-/** Pings in a row that a daemon left unanswered. */
+/** Period in which a daemon has left all pings unanswered: from the start of the first to the failure of the last. */
 interface Silence {
     readonly fromMs: number;
     readonly untilMs: number;
@@ -103,21 +107,21 @@
 const strengthOf = ({ strength }: MemberRow): number => strength ?? 1;
 
 /**
- * Makes the table of peers; it is empty before the first entries.
+ * Creates the table of peers, which is empty before the first member rows.
  *
  * @example
  * const peers = createPeers({ clock, log, self, members, reader, ownerVersion, onOwner });
- * peers.take(rows);
+ * peers.applyRows(rows);
  */
 export const createPeers = ({ clock, log, self, members, reader, ownerVersion, onOwner }: PeersOptions): Peers => {
     const all = new Map<string, MemberRow>();
     const answeredAtMs = new Map<string, number>();
     const silences = new Map<string, Silence>();
     const leaving = new Set<string>();
-    /** Changes of the table so far, also of which daemons are gone. */
-    let changes = 0;
-    /** How often one outside the usual ones was pinged. */
-    let restTurns = 0;
+    /** Number of changes so far to the table, to the set of gone daemons and to `lastAskedOwner`; invalidates the cached values. */
+    let tableRevision = 0;
+    /** Round-robin counter of `nextRemaining`. */
+    let remainingIndex = 0;
 
     const ask: Peers["ask"] = async (address, name, input, { timeoutMs, longestMs, onSilent }) => {
         try {
@@ -133,75 +137,77 @@
 
     const isGone = (memberId: string): boolean => {
         const silence = silences.get(memberId);
-        return silence !== undefined && silence.untilMs - silence.fromMs >= goneMs;
+        return silence !== undefined && silence.untilMs - silence.fromMs >= goneAfterMs;
     };
 
-    /** Keeps what follows from the table until it changes: it is asked for in each round, by hundreds of entries. */
-    const untilChanged = <T>(derive: () => T): () => T => {
+    /** Caches a derived value until the table changes; values are read in each round and computed from hundreds of rows. */
+    const cacheUntilChange = <T>(derive: () => T): () => T => {
         let derivedAt = -1;
         let value: T;
         return () => {
-            if (derivedAt !== changes) {
+            if (derivedAt !== tableRevision) {
                 value = derive();
-                derivedAt = changes;
+                derivedAt = tableRevision;
             }
             return value;
         };
     };
 
-    /** The daemons that are not gone for good: none of them has left pings unanswered for a minute. */
-    const counted = untilChanged((): readonly MemberRow[] => [...all.values()].filter(each => !isGone(each.memberId)));
+    /** The daemons that have not left pings unanswered for `goneAfterMs`. */
+    const presentMembers = cacheUntilChange((): readonly MemberRow[] =>
+        [...all.values()].filter(each => !isGone(each.memberId))
+    );
 
-    const neededStrength = untilChanged(() => strongShare * Math.max(...[self, ...counted()].map(strengthOf)));
+    const minStrength = cacheUntilChange(() => strongShare * Math.max(...[self, ...presentMembers()].map(strengthOf)));
 
-    const candidates = untilChanged((): readonly ClaimCandidate[] =>
-        [self, ...counted()].map(member => ({
+    const candidates = cacheUntilChange((): readonly ClaimCandidate[] =>
+        [self, ...presentMembers()].map(member => ({
             memberId: member.memberId,
-            strong: strengthOf(member) >= neededStrength(),
+            strong: strengthOf(member) >= minStrength(),
         }))
     );
 
-    const neighbours = untilChanged(() => newsOrder(self.memberId, counted()).slice(0, neighbourCount));
-    const allInOrder = untilChanged(() => newsOrder(self.memberId, [...all.values()]));
+    const neighbours = cacheUntilChange(() => newsOrder(self.memberId, presentMembers()).slice(0, neighbourCount));
+    const allInOrder = cacheUntilChange(() => newsOrder(self.memberId, [...all.values()]));
 
-    /** The owner whose successors were asked for last. */
-    let claimedFrom: KnownOwner | undefined;
-    const claimantsNow = untilChanged(() => {
-        const owner = claimedFrom;
+    /** The owner for which `claimants` was called last. */
+    let lastAskedOwner: KnownOwner | undefined;
+    const currentClaimants = cacheUntilChange(() => {
+        const owner = lastAskedOwner;
         const others = candidates().filter(({ memberId }) =>
             memberId === self.memberId || memberId !== owner?.row.memberId
         );
         return claimOrder(others, owner?.version ?? 0);
     });
     const claimants: Peers["claimants"] = owner => {
-        changes += owner?.version === claimedFrom?.version ? 0 : 1;
-        claimedFrom = owner;
-        return claimantsNow();
+        tableRevision += owner?.version === lastAskedOwner?.version ? 0 : 1;
+        lastAskedOwner = owner;
+        return currentClaimants();
     };
 
     const rowsOf = (listed: readonly ClaimCandidate[]): readonly MemberRow[] =>
         listed.flatMap(({ memberId }) => all.get(memberId) ?? []);
 
-    const noteSilence = (memberId: string, askedAtMs: number): void => {
-        // Calls overlap: one that is lost while a later one was answered says nothing.
+    const recordSilence = (memberId: string, askedAtMs: number): void => {
+        // Calls overlap, so a failed call does not count where a later one has been answered.
         if ((answeredAtMs.get(memberId) ?? -Infinity) > askedAtMs) {
             return;
         }
         const { fromMs } = silences.get(memberId) ?? { fromMs: askedAtMs };
         const wasGone = isGone(memberId);
         silences.set(memberId, { fromMs, untilMs: clock.monotonicMs() });
-        changes += wasGone === isGone(memberId) ? 0 : 1;
+        tableRevision += wasGone === isGone(memberId) ? 0 : 1;
     };
 
-    const endSilence = (memberId: string): void => {
-        changes += isGone(memberId) ? 1 : 0;
+    const clearSilence = (memberId: string): void => {
+        tableRevision += isGone(memberId) ? 1 : 0;
         silences.delete(memberId);
     };
 
     return {
         all,
         claimants,
-        opinions: owner => rowsOf(claimants(owner)).slice(0, opinionCount),
+        observers: owner => rowsOf(claimants(owner)).slice(0, observerCount),
         lanes: version => {
             const members = rowsOf(claimOrder(candidates(), version));
             const answering = members.filter(({ memberId }) => !silences.has(memberId));
@@ -209,22 +215,22 @@
             return [...answering, ...silent].slice(0, laneCount);
         },
         neighbours,
-        nextOfRest: pinged => {
+        nextRemaining: pinged => {
             const ids = new Set(pinged.map(({ memberId }) => memberId));
             const rest = allInOrder().filter(({ memberId }) => !ids.has(memberId));
-            restTurns += 1;
-            return rest[restTurns % Math.max(1, rest.length)];
+            remainingIndex += 1;
+            return rest[remainingIndex % Math.max(1, rest.length)];
         },
         isSilent: memberId => silences.has(memberId),
         take: rows => {
-            changes += 1;
+            tableRevision += 1;
             for (const row of rows) {
                 if (row.value === undefined) {
                     all.delete(row.key);
                     silences.delete(row.key);
                 }
                 else if (row.key !== self.memberId) {
-                    // Where the row of a daemon that is known cannot be read, it is called where it was.
+                    // Where the new row cannot be read, the former one stays in use.
                     const member = reader.entryOf(row, decodeMember(row));
                     if (member === undefined) {
                         continue;
@@ -242,10 +248,10 @@
             const askedAtMs = clock.monotonicMs();
             const answer = await ask(peer.address, "ping", request, { timeoutMs, onSilent });
             if (answer === undefined) {
-                noteSilence(peer.memberId, askedAtMs);
+                recordSilence(peer.memberId, askedAtMs);
                 return undefined;
             }
-            endSilence(peer.memberId);
+            clearSilence(peer.memberId);
             answeredAtMs.set(peer.memberId, clock.monotonicMs());
             if (answer.leaving) {
                 leaving.add(peer.memberId);
@@ -266,7 +272,7 @@
         isLeaving: peerId => leaving.has(peerId),
         isStrong: memberId => {
             const member = memberId === self.memberId ? self : all.get(memberId);
-            return member !== undefined && strengthOf(member) >= neededStrength();
+            return member !== undefined && strengthOf(member) >= minStrength();
         },
     };
 };
--- a/packages/puffinarch/src/core/shard/probes.ts
+++ b/packages/puffinarch/src/core/shard/probes.ts
@@ -1,39 +1,43 @@
 /**
- * Which daemons a daemon pings. Each pings a few, chosen alike by all from the table of members, so that what membership
- * costs a VM stays level while the cell grows: 599 calls a second in a cell of 97 on the fakes, 5,280 where everyone pings
- * everyone.
+ * Selects the daemons that a daemon pings, and the order in which daemons claim the shard. Each daemon pings only a few others,
+ * chosen by a hash over the table of members, so that the load on a VM stays constant as the cell grows: in a simulated cell of
+ * 97 daemons 599 calls a second in place of 5,280 where every daemon pings every other.
  */
 
 import type { MemberRow } from "../../types/cellPorts.js";
 import { hash } from "../../utils/rendezvous.js";
 
 /**
- * The first daemons in the order of claims ping the owner at every round. Eight in several data centres are not lost all at
- * once but with their whole cell, and a daemon of a small cell is always among them.
+ * Number of watchers, the first daemons in the claim order, which ping the owner in every round. Eight daemons in several data
+ * centres fail together only with the whole cell, and all daemons of a small cell are watchers.
  */
 export const watcherCount = 8;
-/** Peers that each daemon pings for news of the owner and the configuration: a change reaches 300 daemons in three steps. */
+/** Peers that each daemon pings for newer owner rows and configurations; a change reaches 300 daemons in three hops. */
 export const neighbourCount = 8;
-/** Daemons that an owner keeps at hand as lanes to the advisor; a cell of 440 starts a second asks 9 at once on average. */
+/**
+ * Daemons that an owner pings as its lanes to the advisor, which serves one call of a VM at a time. A cell with 440 starts a
+ * second has 9 calls in flight on average.
+ */
 export const laneCount = 32;
-/** Daemons asked whether they see the owner: the watchers, and a few more that tell a minority. */
-export const opinionCount = 12;
+/** Daemons asked whether the owner answers them: the watchers and a few more, by which a daemon detects that it is in a minority. */
+export const observerCount = 12;
 
-/** The other daemons that ping the owner send it one ping each so many milliseconds together. */
-const followerShareMs = 20;
-/** Each of the first places in the order of claims waits this much longer than the one before. */
-const firstPlaces = 8;
-/** Where all of the first are lost, each place after them waits this much longer; a claim that meets another costs a write. */
-const laterPlaceMs = 10;
+/** Interval in which the owner receives one ping from all daemons together that are not watchers, the followers. */
+const followerSpacingMs = 20;
+/** Ranks in the claim order that are each delayed by the full time per rank. */
+const earlyRanks = 8;
+/** Additional delay of each later rank, for when all early ones have failed; a conflicting claim only costs a write. */
+const laterRankDelayMs = 10;
 
-/** What the order of claims needs to know of a daemon. */
+/** A daemon in the claim order. */
 export interface ClaimCandidate {
     readonly memberId: string;
-    /** Whether its VM has about as much as the best of all. */
+    /** Whether its VM has at least half the processor time and network of the strongest. */
     readonly strong: boolean;
 }
 
-const byScore = (key: string) => {
+/** Compares daemons by their rendezvous hash for a key, highest first. */
+const byRendezvousScore = (key: string) => {
     const scores = new Map<string, number>();
     const scoreOf = (memberId: string): number => {
         const known = scores.get(memberId);
@@ -49,40 +53,40 @@
 };
 
 /**
- * The order in which daemons claim the shard after the owner of this version, strong VMs first; all compute it alike.
+ * Returns the order in which daemons claim the shard after the owner of this version, strong VMs first; the same on all daemons.
  *
  * @example
  * claimOrder([{ memberId: "a", strong: false }, { memberId: "b", strong: true }], 7)[0]?.memberId; // "b"
  */
 export const claimOrder = <T extends ClaimCandidate>(candidates: readonly T[], version: number): readonly T[] => {
-    const score = byScore(String(version));
+    const score = byRendezvousScore(String(version));
     return [...candidates].sort((left, right) => Number(right.strong) - Number(left.strong) || score(left, right));
 };
 
 /**
- * The order in which a daemon pings its peers for news, which differs from daemon to daemon. The first are its neighbours: the
- * same ones each time, so that their connections stay open.
+ * Returns the peers of a daemon in the order of its rendezvous hash, which differs from daemon to daemon. The first are its
+ * neighbours, which stay the same so that their connections stay open.
  *
  * @example
- * newsOrder("entry-1", members).slice(0, neighbourCount);
+ * neighbourOrder("entry-1", members).slice(0, neighbourCount);
  */
 export const newsOrder = (memberId: string, members: readonly MemberRow[]): readonly MemberRow[] =>
-    [...members].sort(byScore(memberId));
+    [...members].sort(byRendezvousScore(memberId));
 
 /**
- * How long a daemon that is not among the watchers waits between two pings of the owner.
+ * Returns the interval, in ms, at which a daemon that is not a watcher pings the owner.
  *
  * @example
  * followerPauseMs(97, 200); // 1940
  */
 export const followerPauseMs = (members: number, shortestMs: number): number =>
-    Math.max(shortestMs, members * followerShareMs);
+    Math.max(shortestMs, members * followerSpacingMs);
 
 /**
- * How long a daemon leaves a claim to those before it.
+ * Returns the delay of a claim, in ms, on a daemon with `rank` candidates ahead of it.
  *
  * @example
- * placeDelayMs(2, 120); // 240
+ * delayForRankMs(2, 120); // 240
  */
-export const placeDelayMs = (place: number, eachMs: number): number =>
-    Math.min(place, firstPlaces) * eachMs + Math.max(0, place - firstPlaces) * laterPlaceMs;
+export const placeDelayMs = (rank: number, eachMs: number): number =>
+    Math.min(rank, earlyRanks) * eachMs + Math.max(0, rank - earlyRanks) * laterRankDelayMs;
