--- a/packages/puffinarch/src/core/shard/readiness.ts
+++ b/packages/puffinarch/src/core/shard/readiness.ts
@@ -1,21 +1,24 @@
-/** Whether callers may be sent to a daemon, and the lines that tell why not, and for how long the shard had no owner. */
+/**
+ * Decides whether the load balancer may send callers to a daemon, and logs why not, and for how long the shard has had no
+ * serving owner.
+ */
 
 import type { KnownOwner } from "../../types/cellPorts.js";
 import type { Clock, Log } from "../../types/ports.js";
 
-/** What judging the readiness needs. */
+/** Dependencies of the readiness check. */
 export interface ReadinessOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly isLeaving: () => boolean;
     readonly hasConfiguration: () => boolean;
     readonly owns: () => boolean;
-    /** Local time at which the owner was last known to be well. */
+    /** Local time at which the owner was last known to be healthy. */
     readonly wellAtMs: () => number;
-    /** Local time at which an owner was last known to have its rows, wherever it is. */
+    /** Local time at which any owner was last known to be serving, which means that it has read all its rows. */
     readonly ownerAtWorkAtMs: () => number;
     readonly knownOwner: () => KnownOwner | undefined;
-    /** What this daemon does about the owner, and what it knows of its peers. */
+    /** Log fields on what this daemon does about the owner, and on its peers. */
     readonly situation: () => Readonly<Record<string, unknown>>;
 }
 
@@ -25,28 +28,28 @@
     close(): void;
 }
 
-/** Without an owner for this long, a daemon asks the balancer for no more callers. */
+/** A daemon that has had no healthy owner for this long reports that it is not ready. */
 const readyWithoutOwnerMs = 450;
-/** How often the readiness is looked at for the log. */
+/** Interval of the checks that log changes of the readiness. */
 const checkIntervalMs = 200;
-/** A takeover takes half a second; the first line about a missing owner comes after this, each next after twice the time. */
-const firstWithoutOwnerMs = 1_000;
+/** Time without a serving owner before the first warning; each further one comes after twice the time. A takeover takes 0.5 s. */
+const firstWarningAfterMs = 1_000;
 
 /**
- * Starts to judge whether a daemon is ready.
+ * Starts to check and log whether a daemon is ready.
  *
  * @example
- * const readiness = watchReadiness({ clock, log, isLeaving, hasConfiguration, owns, wellAtMs, ownerAtWorkAtMs, knownOwner, situation });
+ * const readiness = watchReadiness({ clock, log, isLeaving, hasConfiguration, owns, lastHealthyAtMs, ownerServingAtMs, knownOwner, situation });
  * readiness.ready(); // false before the first configuration
  */
 export const watchReadiness = (options: ReadinessOptions): Readiness => {
     const { clock, log, isLeaving, hasConfiguration, owns, wellAtMs, ownerAtWorkAtMs, knownOwner } = options;
     let closed = false;
-    let shownReason: string | undefined = "starting";
-    let withoutOwnerLineMs = firstWithoutOwnerMs;
+    let loggedReason: string | undefined = "starting";
+    let nextWarningAfterMs = firstWarningAfterMs;
 
-    /** Why no callers may be sent here; undefined where they may. */
-    const obstacle = (): string | undefined => {
+    /** Returns why this daemon is not ready; undefined where it is ready. */
+    const notReadyReason = (): string | undefined => {
         if (isLeaving()) {
             return "leaving";
         }
@@ -65,12 +68,12 @@
         withoutOwnerMs: Math.round(clock.monotonicMs() - ownerAtWorkAtMs()),
     });
 
-    const tellReadiness = (): void => {
-        const reason = obstacle();
-        if (reason === shownReason) {
+    const logReadiness = (): void => {
+        const reason = notReadyReason();
+        if (reason === loggedReason) {
             return;
         }
-        shownReason = reason;
+        loggedReason = reason;
         if (reason === undefined) {
             log.write("info", "ready", ownerFields());
         }
@@ -79,15 +82,15 @@
         }
     };
 
-    const tellOwner = (): void => {
+    const logOwner = (): void => {
         const withoutOwnerMs = clock.monotonicMs() - ownerAtWorkAtMs();
-        if (withoutOwnerMs >= withoutOwnerLineMs) {
-            withoutOwnerLineMs *= 2;
+        if (withoutOwnerMs >= nextWarningAfterMs) {
+            nextWarningAfterMs *= 2;
             log.write("warn", "withoutOwner", { ...ownerFields(), ...options.situation() });
             return;
         }
-        if (withoutOwnerMs < firstWithoutOwnerMs && withoutOwnerLineMs > firstWithoutOwnerMs) {
-            withoutOwnerLineMs = firstWithoutOwnerMs;
+        if (withoutOwnerMs < firstWarningAfterMs && nextWarningAfterMs > firstWarningAfterMs) {
+            nextWarningAfterMs = firstWarningAfterMs;
             log.write("info", "ownerAtWork", ownerFields());
         }
     };
@@ -96,14 +99,14 @@
         if (closed) {
             return;
         }
-        tellReadiness();
-        tellOwner();
+        logReadiness();
+        logOwner();
         clock.setTimer(checkIntervalMs, check);
     };
 
     clock.setTimer(checkIntervalMs, check);
     return {
-        ready: () => obstacle() === undefined,
+        ready: () => notReadyReason() === undefined,
         close: () => {
             closed = true;
         },
--- a/packages/puffinarch/src/core/shard/shortOffices.ts
+++ b/packages/puffinarch/src/core/shard/shortOffices.ts
@@ -1,65 +1,69 @@
 /**
- * How often in a row a shard's owner was replaced soon after its claim because it seemed lost or slow. Work that a takeover
- * costs makes an owner seem so, and the next one begins the same anew; each time it is given twice the time.
+ * Counts short tenures: owners of a shard in a row that were each replaced soon after their claim because they seemed lost or
+ * slow. The work of a takeover can itself make an owner seem so, and each successor has to repeat that work. Every short tenure
+ * therefore doubles the timeouts for the next owner.
  */
 
 import type { OwnerRow } from "../../types/cellPorts.js";
 
 /** Why a daemon claims a shard. */
 export const claimReasons = {
+    /** The shard has no owner row. */
     noOwner: "noOwner",
-    /** Its former process owned it. */
+    /** An earlier process of this daemon owned the shard. */
     restarted: "restarted",
+    /** The owner row names this process, which does not own the shard any more. */
     lost: "lost",
+    /** The owner does not answer pings. */
     ownerSilent: "ownerSilent",
-    /** The owner finds no answer from the store. */
+    /** The owner's commits are not answered by the store. */
     ownerStalled: "ownerStalled",
-    /** The owner takes its VM for slow and asks this daemon to claim. */
+    /** The owner's VM has become slow, and it asks this daemon to claim. */
     ownerSlow: "ownerSlow",
-    /** The owner stops, or is weaker, and asks this daemon to claim. */
+    /** The owner stops or is weak, and asks this daemon to claim. */
     handOver: "handOver",
 } as const;
 /** One of `claimReasons`. */
 export type ClaimReason = (typeof claimReasons)[keyof typeof claimReasons];
 
-/** What a takeover at 350 workers costs is done within this on a VM of a third of a core. */
-const settledAfterMs = 5_000;
-/** An owner that is replaced within so many times what it was given was replaced soon. */
-const soonFactor = 2;
-/** Doublings at most: the silence of an owner that is truly lost is then noticed after 2.8 s. */
-const mostDoublings = 3;
+/** Within this time a VM of a third of a core completes the work of a takeover with 350 workers. */
+const settlingBaseMs = 5_000;
+/** A tenure is short where it ends within its settling time multiplied by this factor. */
+const shortTenureFactor = 2;
+/** Most doublings of the timeouts; with these the failure of an owner is detected after 2.8 s. */
+const maxDoublings = 3;
 
-/** Reasons that being busy can bring about. */
-const busyReasons: ReadonlySet<ClaimReason> = new Set([
+/** Reasons for a claim that an overloaded owner can cause. */
+const overloadReasons: ReadonlySet<ClaimReason> = new Set([
     claimReasons.ownerSilent,
     claimReasons.ownerStalled,
     claimReasons.ownerSlow,
 ]);
 
 /**
- * Tells how many times longer than usual an owner may seem silent or stalled before it is replaced; without it, 31 owners
- * followed one another within 15 s on fakes with 350 workers.
+ * Returns the factor on the timeouts after which a silent or stalled owner is replaced. Without it, 31 owners followed one
+ * another within 15 s in a simulation with 350 workers.
  *
  * @example
- * patienceFactor({ shortOffices: 2 }); // 4
+ * timeoutFactor({ shortOffices: 2 }); // 4
  */
 export const patienceFactor = ({ shortOffices = 0 }: Pick<OwnerRow, "shortOffices">): number =>
-    2 ** Math.min(mostDoublings, shortOffices);
+    2 ** Math.min(maxDoublings, shortOffices);
 
 /**
- * Tells how long after its claim an owner may take its VM for slow; before that its timers are late with what the takeover
- * costs.
+ * Returns the time after its claim, in ms, before which an owner does not treat its VM as slow: until then the work of the
+ * takeover delays its timers.
  *
  * @example
  * settlingMs({ shortOffices: 1 }); // 10000
  */
-export const settlingMs = (row: Pick<OwnerRow, "shortOffices">): number => settledAfterMs * patienceFactor(row);
+export const settlingMs = (row: Pick<OwnerRow, "shortOffices">): number => settlingBaseMs * patienceFactor(row);
 
 /**
- * Counts the short offices in a row for a new owner.
+ * Returns the number of consecutive short tenures to store in a new owner's row.
  *
  * @example
- * countShortOffices({ previous: row, lastedMs: 1_200, why: "ownerSilent" }); // one more than in the row
+ * countShortTenures({ previous: row, lastedMs: 1_200, why: "ownerSilent" }); // one more than in the row
  */
 export const countShortOffices = (
     { previous, lastedMs, why }: {
@@ -68,8 +72,8 @@
         readonly why: ClaimReason;
     },
 ): number => {
-    if (previous === undefined || lastedMs > soonFactor * settlingMs(previous)) {
+    if (previous === undefined || lastedMs > shortTenureFactor * settlingMs(previous)) {
         return 0;
     }
-    return (previous.shortOffices ?? 0) + (busyReasons.has(why) ? 1 : 0);
+    return (previous.shortOffices ?? 0) + (overloadReasons.has(why) ? 1 : 0);
 };
