--- a/packages/puffinarch/src/core/shard/callerKeys.ts
+++ b/packages/puffinarch/src/core/shard/callerKeys.ts
@@ -1,23 +1,23 @@
-/** API keys of callers: who sends a request, as the configuration tells. Keys are held as digests only. */
+/** Authenticates callers by the API keys in the configuration, which holds only digests of the keys. */
 
 import { createHash, timingSafeEqual } from "node:crypto";
 import type { CellConfiguration, Queue } from "../../types/work.js";
 import { die } from "../../utils/errors.js";
 
-/** Tells callers apart by one version of the configuration. */
+/** Caller keys of one version of the configuration. */
 export interface CallerKeys {
     /**
-     * Name of the organisation whose caller sends this key to a queue; empty for a caller without a key. Fails with
-     * `unauthenticated` where the key is not known, or the queue asks for one and there is none.
+     * Returns the name of the organisation that the key belongs to; empty for a caller without a key. Fails with
+     * `unauthenticated` where the key is unknown, or is missing and the queue requires one.
      */
     organisationOf(queue: Queue, key: string | undefined): string;
 }
 
-/** Of a digest's hexadecimal digits, those by which its candidates are found. */
+/** Leading hexadecimal digits of a digest that select its bucket. */
 const bucketDigits = 8;
 
 /**
- * Gives the digest by which a key is held and passed on.
+ * Returns the hexadecimal SHA-256 digest under which a key is stored and transmitted.
  *
  * @example
  * digestKey("9m2jju7j").length; // 64
@@ -32,7 +32,7 @@
 const bucketOf = (digest: string): string => digest.slice(0, bucketDigits);
 
 /**
- * Prepares the keys of a configuration. Where it names no organisations, no caller needs a key.
+ * Indexes the keys of a configuration. Without `organisations` no caller needs a key, and all belong to no organisation.
  *
  * @example
  * createCallerKeys(configuration).organisationOf(queue, "9m2jju7j"); // "north"
@@ -46,7 +46,7 @@
         }
     }
 
-    /** How long a comparison takes tells nothing of how much of a digest was right. */
+    /** Compares digests in constant time, so that the duration does not reveal how much of a digest matched. */
     const find = (key: string): string | undefined => {
         const hex = digestKey(key);
         const digest = Buffer.from(hex, "hex");
@@ -59,9 +59,9 @@
                 return "";
             }
             if (key === "") {
-                return queue.isPublic === true ? "" : die("unauthenticated", "this queue asks for an API key");
+                return queue.isPublic === true ? "" : die("unauthenticated", "this queue requires an API key");
             }
-            return find(key) ?? die("unauthenticated", "the API key is not known");
+            return find(key) ?? die("unauthenticated", "the API key is unknown");
         },
     };
 };
--- a/packages/puffinarch/src/core/shard/commitWitness.ts
+++ b/packages/puffinarch/src/core/shard/commitWitness.ts
@@ -1,6 +1,7 @@
 /**
- * Tells from the store whether the owner of a shard goes on committing. A daemon that hears neither the owner nor most of its peers
- * cannot tell a lost owner from a fault of its own link, and each claim of a daemon that cannot do the work ends a sound owner.
+ * Finds out from the store whether the owner of a shard still commits. A daemon that reaches neither the owner nor most of its
+ * peers cannot otherwise distinguish a failed owner from a fault of its own link, and a claim it made in the second case would
+ * end a healthy owner without being able to replace it.
  */
 
 import type { RowStore } from "../../types/cellPorts.js";
@@ -9,7 +10,7 @@
 import { sleep } from "../../utils/time.js";
 import { journalTable, sequenceKey } from "./shardTables.js";
 
-/** What the witness needs. */
+/** Dependencies of a commit monitor. */
 export interface CommitWitnessOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -17,31 +18,31 @@
     readonly part: string;
 }
 
-/** Watches the newest batch of a shard while it is asked. */
+/** Follows the version of a shard's newest commit while it is asked for it. */
 export interface CommitWitness {
-    /** True once no batch has been committed for `quietMs`; reads the store twice a second at the most. */
+    /** Returns true once the store has shown no new commit for `quietMs`; reads the store at most twice a second. */
     isQuiet(): Promise<boolean>;
-    /** Forgets what was read; the next question begins anew. */
+    /** Discards what was read, so that `isQuiet` returns true no sooner than `quietMs` later. */
     reset(): void;
 }
 
-/** An owner with work commits many times a second; one whose copies get lost needs up to 1.5 s for the next. */
+/** A busy owner commits many times a second; it needs up to 1.5 s for a commit where copies of its requests are lost. */
 const quietMs = 2_000;
-const readPauseMs = 500;
+const readIntervalMs = 500;
 const readTimeoutMs = 400;
 
-/** A batch by the version of its sequence row, and since when it is known to be the newest. */
+/** The newest commit, by the version of the sequence row, and the local time at which it was first seen. */
 interface SeenBatch {
     readonly version: number;
     readonly sinceMs: number;
 }
 
 /**
- * Makes the witness of a shard.
+ * Creates the commit monitor of a shard.
  *
  * @example
- * const witness = createCommitWitness({ clock, log, store, part: "shard-0" });
- * await witness.isQuiet(); // false at first
+ * const monitor = createCommitMonitor({ clock, log, store, part: "shard-0" });
+ * await monitor.isQuiet(); // false at first
  */
 export const createCommitWitness = ({ clock, log, store, part }: CommitWitnessOptions): CommitWitness => {
     let seen: SeenBatch | undefined;
@@ -58,7 +59,7 @@
         }
     };
 
-    const look = async (): Promise<void> => {
+    const refresh = async (): Promise<void> => {
         readAtMs = clock.monotonicMs();
         const version = await Promise.race([readVersion(), sleep(clock, readTimeoutMs).then(() => undefined)]);
         if (version === undefined || version === seen?.version) {
@@ -72,10 +73,10 @@
 
     return {
         isQuiet: async () => {
-            if (clock.monotonicMs() - readAtMs >= readPauseMs) {
-                await look();
+            if (clock.monotonicMs() - readAtMs >= readIntervalMs) {
+                await refresh();
             }
-            // The newest read, and not the time alone, shows that no batch has come.
+            // Measured up to the newest read, since the time after it may hold a commit that was not read yet.
             return seen !== undefined && readAtMs - seen.sinceMs >= quietMs;
         },
         reset: () => {
--- a/packages/puffinarch/src/core/shard/configurationFetch.ts
+++ b/packages/puffinarch/src/core/shard/configurationFetch.ts
@@ -1,14 +1,14 @@
 /**
- * Fetches the configuration from peers, for daemons that the store turns away. A configuration of thousands of queues fills a thin link
- * for a second, so that one copy at a time is asked for, and the store goes first: copies that are asked for at every ping
- * starve each other, the store's own answer and the pings.
+ * Fetches the configuration from peers, for daemons that cannot reach the store. A configuration of thousands of queues fills a
+ * slow link for a second. Only one copy at a time is therefore fetched, and only after the store had time to deliver it: copies
+ * fetched at every ping would starve each other, the store's answer and the pings.
  */
 
 import type { Clock, Log } from "../../types/ports.js";
 import type { CellConfiguration } from "../../types/work.js";
 import type { Peers } from "./peers.js";
 
-/** What fetching needs. */
+/** Dependencies of the configuration fetch. */
 export interface ConfigurationFetchOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -16,27 +16,29 @@
     readonly peers: Pick<Peers, "ask">;
     /** Version of the newest configuration that is known; 0 for none. */
     readonly version: () => number;
-    /** How old what the store told of the configuration may be; `Infinity` before it told anything. */
+    /** Age in ms of the configuration that the store delivered; `Infinity` before the first. */
     readonly storeAgeMs: () => number;
     readonly onConfiguration: (configuration: CellConfiguration) => void;
 }
 
 /** Fetches newer configurations. */
 export interface ConfigurationFetch {
-    /** A peer has this version. */
+    /** Reports the version that a peer has; it is fetched where it is newer and the store has not delivered it in time. */
     offer(address: string, version: number): void;
 }
 
-/** A change takes the store some milliseconds, over a link that is not thin; what it told is at most this old where it is well. */
-const headStartMs = 400;
+/** Time that the store has to deliver a change, which takes some milliseconds except over a slow link, before a peer is asked. */
+const storeHeadStartMs = 400;
+/** The store counts as unreachable where its data is this old; with a healthy store it never is. */
 const storeLostMs = 2_000;
-/** A peer that sends nothing for this long is left for the next one that has the version. */
-const silentMs = 800;
+/** A fetch is abandoned where the peer sends no data for this long; the next peer that reports the version is asked instead. */
+const silenceTimeoutMs = 800;
+/** Longest time for a fetch of which data keeps arriving. */
 const longestMs = 20_000;
 const retryPauseMs = 300;
 
 /**
- * Makes the fetching of one daemon.
+ * Creates the configuration fetch of a daemon.
  *
  * @example
  * const fetch = createConfigurationFetch({ clock, log, selfId, peers, version, storeAgeMs, onConfiguration });
@@ -45,24 +47,27 @@
 export const createConfigurationFetch = (options: ConfigurationFetchOptions): ConfigurationFetch => {
     const { clock, log, selfId, peers, version: known, storeAgeMs, onConfiguration } = options;
     let behindSinceMs: number | undefined;
-    let underWay = false;
-    let againAtMs = -Infinity;
+    let fetching = false;
+    let nextFetchAtMs = -Infinity;
 
-    const storeMayTell = (sinceMs: number): boolean => {
+    const shouldWaitForStore = (sinceMs: number): boolean => {
         const ageMs = storeAgeMs();
         const isLost = ageMs !== Infinity && ageMs >= storeLostMs;
-        return !isLost && clock.monotonicMs() - sinceMs < headStartMs;
+        return !isLost && clock.monotonicMs() - sinceMs < storeHeadStartMs;
     };
 
     const askPeer = async (address: string, version: number): Promise<void> => {
         const startedAtMs = clock.monotonicMs();
-        underWay = true;
-        const next = await peers.ask(address, "configuration", { from: selfId }, { timeoutMs: silentMs, longestMs });
-        underWay = false;
+        fetching = true;
+        const next = await peers.ask(address, "configuration", { from: selfId }, {
+            timeoutMs: silenceTimeoutMs,
+            longestMs,
+        });
+        fetching = false;
         const tookMs = Math.round(clock.monotonicMs() - startedAtMs);
         if (next === undefined) {
             log.write("warn", "configurationFetchFailed", { address, version, known: known(), tookMs });
-            againAtMs = clock.monotonicMs() + retryPauseMs;
+            nextFetchAtMs = clock.monotonicMs() + retryPauseMs;
             return;
         }
         onConfiguration(next);
@@ -75,7 +80,7 @@
                 return;
             }
             behindSinceMs ??= clock.monotonicMs();
-            if (!underWay && clock.monotonicMs() >= againAtMs && !storeMayTell(behindSinceMs)) {
+            if (!fetching && clock.monotonicMs() >= nextFetchAtMs && !shouldWaitForStore(behindSinceMs)) {
                 void askPeer(address, version);
             }
         },
--- a/packages/puffinarch/src/core/shard/memberRows.ts
+++ b/packages/puffinarch/src/core/shard/memberRows.ts
@@ -1,11 +1,11 @@
-/** Rows in which daemons enter themselves, and the row of a shard's owner. */
+/** Decoders of the rows in which daemons register themselves, and of the row of a shard's owner. */
 
 import { z } from "zod";
 import type { KnownOwner, MemberRow, OwnerRow, Row } from "../../types/cellPorts.js";
 import { type Decoded, decodeRow } from "../../utils/decode.js";
 
 const text = z.string("a text").min(1, "a text that is not empty");
-/** The product's own connections between daemons are plain HTTP. */
+/** Daemons connect to each other over plain HTTP. */
 const addressAllowed = "an address such as http://10.1.0.13:7720";
 
 const memberSchema = z.object({
@@ -22,7 +22,7 @@
 });
 
 /**
- * Reads the row in which a daemon entered itself, under its own id.
+ * Decodes the row in which a daemon registered itself; its key must be the daemon's own id.
  *
  * @example
  * decodeMember(row).kind; // "entry"
@@ -35,7 +35,7 @@
 };
 
 /**
- * Reads the row of a shard's owner.
+ * Decodes the row of a shard's owner.
  *
  * @example
  * decodeOwner(row).kind; // "entry"
@@ -43,8 +43,8 @@
 export const decodeOwner = (row: Row): Decoded<OwnerRow> => decodeRow(row, ownerSchema);
 
 /**
- * What stands for an owner whose row cannot be read: nobody answers there, so that a daemon claims the shard after this
- * version, without which no claim would ever succeed.
+ * Returns a placeholder for an owner whose row cannot be decoded. Nothing answers at its address, so that a daemon claims the
+ * shard on the version of the unreadable row; without that version no claim could ever succeed.
  *
  * @example
  * unreadableOwner(7).row.memberId; // ""
--- a/packages/puffinarch/src/core/shard/readRows.ts
+++ b/packages/puffinarch/src/core/shard/readRows.ts
@@ -1,60 +1,64 @@
-/** Reads a whole part of a table, in pages. */
+/** Reads a whole part of a table in pages. */
 
 import type { Row, RowStore } from "../../types/cellPorts.js";
 import type { Clock, Log } from "../../types/ports.js";
 import { failureOf } from "../../utils/errors.js";
 import { sleep } from "../../utils/time.js";
 
-/** What reading a part of a table needs. */
+/** Dependencies and limits of reading a part of a table. */
 export interface ReadRowsOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly store: RowStore;
     readonly table: string;
     readonly part: string;
+    /** Returns false once the read is no longer needed. */
     readonly wanted: () => boolean;
-    /** Gives up once no page came for this long; never where it is left out. */
+    /** Gives up once no page has arrived for this long; never where it is left out. */
     readonly patienceMs?: number;
-    /** Gives up once the whole took this long; never where it is left out. */
+    /** Gives up once the whole read has taken this long; never where it is left out. */
     readonly withinMs?: number;
-    /** Rows of the first page, for rows that are known to be small. */
-    readonly firstRows?: number;
-    /** Pause after a page that failed. */
+    /** Most rows of the first page, for tables whose rows are known to be small. */
+    readonly firstPageRows?: number;
+    /** Pause after a failed page. */
     readonly retryPauseMs?: number;
-    /** How long a page may take while it keeps coming; as long as the store may be silent where it is left out. */
+    /** Longest time for a page of which data keeps arriving; the store's own timeout where it is left out. */
     readonly longestPageMs?: number;
 }
 
-/** A part of a table. */
+/** All rows of a part of a table. */
 export interface ReadRows {
     readonly rows: readonly Row[];
-    /** The table's version when the first page was read; what changed since is followed from there. */
+    /** The store's version when the first page was read, from which to follow later changes. */
     readonly version: number;
 }
 
-/** Someone waits for the rows of a shard; a store that refuses is asked 16 times a second by one daemon alone. */
-const shortRetryPauseMs = 60;
-/** A read that goes on failing is logged this often. */
-const logPauseMs = 1_000;
-/** Rows of the first page, at 7 KB a job at the most; a link of 10 Mbit/s carries them in 0.4 s. */
-const firstPageRows = 50;
-const fewestPageRows = 10;
-/** The store's own limit. */
-export const mostPageRows = 500;
 /**
- * A page that took less than this is followed by one twice as large, which takes twice the time at the most and so still
- * ends within the store's 1 s for a read. With 150 ms a store of 240 ms an answer never got a larger one: 15 s for 3,000 rows.
+ * Short, since a shard is not served until its rows are read; only one daemon reads them and so sends at most 16 calls a second
+ * to a store that refuses them.
+ */
+const defaultRetryPauseMs = 60;
+/** A read that keeps failing is logged at most once in this time. */
+const logIntervalMs = 1_000;
+/** At no more than 7 KB a job, a link of 10 Mbit/s carries a page of this many rows in 0.4 s. */
+const defaultFirstPageRows = 50;
+const minPageRows = 10;
+/** The store's limit on the rows of a page. */
+export const maxPageRows = 500;
+/**
+ * After a page that took less than this the page size doubles: the next page takes at most twice as long, and so stays within
+ * the store's 1 s for a read. With 150 ms, pages never grow on a store that takes 240 ms to answer, and 3,000 rows take 15 s.
  */
 const quickPageMs = 450;
-/** A read that failed sooner than this was refused, which says nothing of its size. */
-const refusedMs = 250;
+/** A read that fails sooner than this was refused for a reason other than its size, and keeps its page size. */
+const maxRefusalMs = 250;
 
-/** The key from which the page after these rows begins: the least one after the last. */
+/** Returns the key at which the next page begins: the lowest one above the last key of these rows. */
 const keyAfter = (rows: readonly Row[]): string => `${rows.at(-1)?.key ?? ""}\u0001`;
 
 /**
- * Reads a whole part of a table, in pages that adapt to the link and the store, so that a slow read still gets on; undefined
- * once it is not wanted any more, or does not get on.
+ * Reads a whole part of a table in pages, whose size adapts to the speed of the link and the store. Returns undefined once the
+ * read is no longer needed, or one of its time limits has passed.
  *
  * @example
  * const read = await readAllRows({ clock, log, store, table, part, wanted: () => true });
@@ -69,22 +73,22 @@
         wanted,
         patienceMs = Infinity,
         withinMs = Infinity,
-        firstRows = firstPageRows,
-        retryPauseMs = shortRetryPauseMs,
+        firstPageRows = defaultFirstPageRows,
+        retryPauseMs = defaultRetryPauseMs,
         longestPageMs,
     }: ReadRowsOptions,
 ): Promise<ReadRows | undefined> => {
     const rows: Row[] = [];
     let fromKey: string | undefined;
     let version: number | undefined;
-    let pageRows = firstRows;
+    let pageRows = firstPageRows;
     let failures = 0;
     let loggedAtMs = -Infinity;
     const startedAtMs = clock.monotonicMs();
-    let gotOnAtMs = startedAtMs;
-    const isLate = (): boolean =>
-        clock.monotonicMs() - gotOnAtMs >= patienceMs || clock.monotonicMs() - startedAtMs >= withinMs;
-    while (wanted() && !isLate()) {
+    let lastPageAtMs = startedAtMs;
+    const isOverdue = (): boolean =>
+        clock.monotonicMs() - lastPageAtMs >= patienceMs || clock.monotonicMs() - startedAtMs >= withinMs;
+    while (wanted() && !isOverdue()) {
         const askedAtMs = clock.monotonicMs();
         try {
             const page = await store.read(table, part, fromKey, pageRows, longestPageMs);
@@ -94,25 +98,25 @@
                 return { rows, version };
             }
             fromKey = keyAfter(page.rows);
-            gotOnAtMs = clock.monotonicMs();
-            pageRows = gotOnAtMs - askedAtMs < quickPageMs ? Math.min(mostPageRows, 2 * pageRows) : pageRows;
+            lastPageAtMs = clock.monotonicMs();
+            pageRows = lastPageAtMs - askedAtMs < quickPageMs ? Math.min(maxPageRows, 2 * pageRows) : pageRows;
         }
         catch (error) {
             failures += 1;
-            if (clock.monotonicMs() - loggedAtMs >= logPauseMs) {
+            if (clock.monotonicMs() - loggedAtMs >= logIntervalMs) {
                 loggedAtMs = clock.monotonicMs();
                 const { message: reason } = failureOf(error);
                 log.write("warn", "shardReadDelayed", { table, part, rows: rows.length, pageRows, failures, reason });
             }
-            if (clock.monotonicMs() - askedAtMs >= refusedMs) {
-                pageRows = Math.max(fewestPageRows, Math.floor(pageRows / 4));
+            if (clock.monotonicMs() - askedAtMs >= maxRefusalMs) {
+                pageRows = Math.max(minPageRows, Math.floor(pageRows / 4));
             }
             await sleep(clock, retryPauseMs);
         }
     }
-    if (isLate()) {
+    if (isOverdue()) {
         const nowMs = clock.monotonicMs();
-        const withoutPageMs = nowMs - gotOnAtMs;
+        const withoutPageMs = nowMs - lastPageAtMs;
         log.write("warn", "shardReadGivenUp", {
             table,
             part,
--- a/packages/puffinarch/src/core/shard/tableWatch.ts
+++ b/packages/puffinarch/src/core/shard/tableWatch.ts
@@ -1,74 +1,77 @@
-/** Follows a table of the store: a whole read, then its changes; a whole read again where the history is lost. */
+/** Follows a table of the store: reads a snapshot, then the changes; reads another snapshot where the change history was lost. */
 
 import type { Row, RowStore } from "../../types/cellPorts.js";
 import type { Clock, Log } from "../../types/ports.js";
 import { failureOf } from "../../utils/errors.js";
 import { sleep } from "../../utils/time.js";
-import { mostPageRows, readAllRows } from "./readRows.js";
+import { maxPageRows, readAllRows } from "./readRows.js";
 
-/** What a watch needs. */
+/** Dependencies, callbacks and timings of a table watch. */
 export interface TableWatchOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly store: RowStore;
     readonly table: string;
     readonly parts: readonly string[];
-    /** Rows that are new or changed; a removed one has no value. */
+    /** Called with new, changed and removed rows; a removed row has no value. */
     readonly onRows: (rows: readonly Row[]) => void;
-    /** After a whole read: the keys of all rows; what else was known is gone. */
+    /** Called after each snapshot with the keys of all its rows; rows with other keys no longer exist. */
     readonly onWhole: (keys: ReadonlySet<string>) => void;
-    /** Pause after changes, so that a table that changes all the time costs few calls; none where it is left out. */
+    /** Pause between calls for changes, which limits the calls for a table that changes constantly; none where it is left out. */
     readonly pauseMs?: number;
-    /** How long the store may wait for a change before it answers, which bounds how long a silent connection goes unnoticed. */
+    /** Longest wait of the store for a change before it answers, which bounds the time to detect a dead connection. */
     readonly feedWaitMs?: number;
 }
 
 /** A watch that runs until it is stopped. */
 export interface TableWatch {
-    /** How old what is known may be: time since the newest answered call was sent; `Infinity` before the first. */
+    /** Age of the data, in ms: time since the newest answered call was sent; `Infinity` before the first. */
     ageMs(): number;
     stop(): void;
 }
 
-/** For tables whose changes reach a daemon through its peers as well. */
+/** For tables whose changes also reach a daemon through its peers. */
 const longFeedWaitMs = 10_000;
-/** For tables whose changes must be known within the platform's 2 s, also where the connection has gone silent. */
+/** For tables whose changes must arrive within the platform's limit of 2 s, even where the connection is dead without being closed. */
 export const shortFeedWaitMs = 1_000;
 const retryPauseMs = 250;
-/** No smaller page helps with a row that alone takes longer than the store may be silent. */
+/**
+ * Longest time for a page of which data keeps arriving. A single row may take longer than the store's own timeout, and a smaller
+ * page does not help then.
+ */
 const longestPageMs = 20_000;
 
-/** A moment on both clocks. */
+/** A point in time on the monotonic clock and on the wall clock. */
 interface Moment {
-    readonly steadyMs: number;
-    readonly wallMs: number;
+    readonly monotonicMs: number;
+    readonly wallClockMs: number;
 }
 
-const momentOf = (clock: Clock): Moment => ({ steadyMs: clock.monotonicMs(), wallMs: clock.nowMs() });
+const momentOf = (clock: Clock): Moment => ({ monotonicMs: clock.monotonicMs(), wallClockMs: clock.nowMs() });
 
-/** The steady clock stands still while the VM is suspended and the time of day may be set back: the longer time counts. */
-const sinceMoment = (clock: Clock, { steadyMs, wallMs }: Moment): number =>
-    Math.max(clock.monotonicMs() - steadyMs, clock.nowMs() - wallMs);
+/** Returns the longer time of both clocks: the monotonic one stops while the VM is suspended, the wall clock may be set back. */
+const elapsedSinceMs = (clock: Clock, { monotonicMs, wallClockMs }: Moment): number =>
+    Math.max(clock.monotonicMs() - monotonicMs, clock.nowMs() - wallClockMs);
 
 /**
  * Starts to follow a table.
  *
  * @example
- * const watch = watchTable({ clock, log, store, table: "puffinarch-member", parts: [""], onRows, onWhole });
+ * const watch = watchTable({ clock, log, store, table: "puffinarch-member", parts: [""], onRows, onSnapshot });
  */
 export const watchTable = (
     { clock, log, store, table, parts, onRows, onWhole, pauseMs, feedWaitMs }: TableWatchOptions,
 ): TableWatch => {
     let stopped = false;
-    let known: Moment | undefined;
+    let lastCallSentAt: Moment | undefined;
 
-    /** The version from which changes are followed; undefined once stopped. */
-    const readWhole = async (): Promise<number | undefined> => {
+    /** Reads all parts and returns the version from which to follow changes; undefined once stopped. */
+    const readSnapshot = async (): Promise<number | undefined> => {
         const sentAt = momentOf(clock);
         let oldest = Infinity;
         const keys = new Set<string>();
         for (const part of parts) {
-            // Usually one answer holds all rows; over a link on which it takes too long they come in smaller pages.
+            // One page usually holds all rows; it is divided where it takes too long over a slow link.
             const read = await readAllRows({
                 clock,
                 log,
@@ -76,7 +79,7 @@
                 table,
                 part,
                 wanted: () => !stopped,
-                firstRows: mostPageRows,
+                firstPageRows: maxPageRows,
                 retryPauseMs,
                 longestPageMs,
             });
@@ -91,12 +94,12 @@
             onRows(rows);
         }
         onWhole(keys);
-        known = sentAt;
+        lastCallSentAt = sentAt;
         return oldest;
     };
 
     const follow = async (): Promise<void> => {
-        let version = await readWhole();
+        let version = await readSnapshot();
         while (!stopped && version !== undefined) {
             const sentAt = momentOf(clock);
             const changes = await store.changes(table, version, feedWaitMs ?? longFeedWaitMs);
@@ -108,7 +111,7 @@
             if (changes.rows.length > 0 && !stopped) {
                 onRows(changes.rows);
             }
-            known = sentAt;
+            lastCallSentAt = sentAt;
             if (pauseMs !== undefined) {
                 await sleep(clock, pauseMs);
             }
@@ -116,17 +119,17 @@
     };
 
     const run = async (): Promise<void> => {
-        let lost = false;
+        let isLost = false;
         while (!stopped) {
             try {
                 await follow();
-                lost = false;
+                isLost = false;
             }
             catch (error) {
-                if (!lost) {
+                if (!isLost) {
                     log.write("warn", "watchLost", { table, reason: failureOf(error).message });
                 }
-                lost = true;
+                isLost = true;
                 await sleep(clock, retryPauseMs);
             }
         }
@@ -134,7 +137,7 @@
 
     void run();
     return {
-        ageMs: () => known === undefined ? Infinity : sinceMoment(clock, known),
+        ageMs: () => lastCallSentAt === undefined ? Infinity : elapsedSinceMs(clock, lastCallSentAt),
         stop: () => {
             stopped = true;
         },
