--- a/packages/puffinarch/src/core/shard/ownerProgress.ts
+++ b/packages/puffinarch/src/core/shard/ownerProgress.ts
@@ -1,66 +1,68 @@
 /**
- * Tells when an owner that answers its peers gets nowhere: it started nothing for a while though work waits. Its own calls seem well
- * then, so that no other line says so.
+ * Logs a warning where an owner has started nothing for a while although tasks wait. Such an owner still answers its peers and
+ * its calls succeed, so that no other log line shows the fault.
  */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
 
-/** What watching the progress needs. */
+/** Dependencies of the progress check. */
 export interface OwnerProgressOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
-    /** How old what is known of the list of workers, or of the configuration, may be. */
+    /** Age in ms of the worker list or of the configuration, whichever is older; `Infinity` before both have been read. */
     readonly newsAgeMs: () => number;
-    /** Since when the commit under way waits for the store; 0 at rest. */
+    /** How long the commit in progress has waited for the store, in ms; 0 where there is none. */
     readonly stalledMs: () => number;
     /** Local time of the newest answer of any worker. */
     readonly lookedAtMs: () => number;
 }
 
-/** Watches the progress of one owner. */
+/** Progress check of one owner. */
 export interface OwnerProgress {
-    noteStart(): void;
-    noteAcceptance(): void;
-    /** Looks whether it gets on; `waitingSteps` steps wait to be placed. */
+    /** Records that a run was started. */
+    recordStart(): void;
+    /** Records that a job was accepted. */
+    recordAcceptance(): void;
+    /** Logs a warning where nothing has started for too long; `waitingSteps` is the number of steps that wait to be placed. */
     review(waitingSteps: number): void;
 }
 
-/** A task may stand for this long beside room for it; each next line comes after twice the time. */
-const firstLineMs = 3_000;
+/** Time without a start before the first warning, the longest that a task may wait beside free room; doubles for each further one. */
+const firstWarningAfterMs = 3_000;
 
 /**
- * Makes the watch of an owner that has just begun.
+ * Creates the progress check of an owner that has just claimed its shard.
  *
  * @example
- * const progress = createOwnerProgress({ clock, log, meter, newsAgeMs, stalledMs, lookedAtMs });
+ * const progress = createOwnerProgress({ clock, log, meter, newsAgeMs, stalledMs, newestAnswerAtMs });
  * progress.review(12);
  */
 export const createOwnerProgress = (options: OwnerProgressOptions): OwnerProgress => {
     const { clock, log, meter, newsAgeMs, stalledMs, lookedAtMs } = options;
     let startedAtMs = clock.monotonicMs();
     let acceptedAtMs = clock.monotonicMs();
-    let lineMs = firstLineMs;
+    let nextWarningAfterMs = firstWarningAfterMs;
 
     const sinceMs = (atMs: number): number => Math.round(clock.monotonicMs() - atMs);
 
     return {
-        noteStart: () => {
+        recordStart: () => {
             startedAtMs = clock.monotonicMs();
         },
-        noteAcceptance: () => {
+        recordAcceptance: () => {
             acceptedAtMs = clock.monotonicMs();
         },
         review: waitingSteps => {
             if (Number.isFinite(newsAgeMs())) {
                 meter.record("newsAgeMs", newsAgeMs());
             }
-            if (waitingSteps === 0 || sinceMs(startedAtMs) < firstLineMs) {
-                lineMs = firstLineMs;
+            if (waitingSteps === 0 || sinceMs(startedAtMs) < firstWarningAfterMs) {
+                nextWarningAfterMs = firstWarningAfterMs;
                 return;
             }
-            if (sinceMs(startedAtMs) >= lineMs) {
-                lineMs *= 2;
+            if (sinceMs(startedAtMs) >= nextWarningAfterMs) {
+                nextWarningAfterMs *= 2;
                 log.write("warn", "nothingStarted", {
                     forMs: sinceMs(startedAtMs),
                     waitingSteps,
--- a/packages/puffinarch/src/core/shard/shardOwner.ts
+++ b/packages/puffinarch/src/core/shard/shardOwner.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of a shard: the one daemon that accepts its jobs, places their tasks and talks to its workers. All that must
- * last is in the shard's rows; all that runs is listed by the workers, so a successor learns the rest from them.
+ * The owner of a shard: the one daemon that accepts its jobs, places their tasks and calls its workers. The durable state is in
+ * the shard's rows. Runs are listed by the workers, from which a new owner restores the rest of the state.
  */
 
 import {
@@ -53,7 +53,7 @@
 import { createWaveRows } from "./waveRows.js";
 import { dropRun, isListed, stillFits } from "./workerTable.js";
 
-/** What a shard's owner needs. */
+/** Dependencies and settings of a shard's owner. */
 export interface ShardOwnerOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -64,67 +64,78 @@
     readonly part: string;
     readonly claimId: string;
     readonly claimed: ClaimedShard;
-    /** Daemons that can call the advisor, this one included. */
+    /** Ids of the daemons through which the advisor can be called, this daemon included. */
     readonly adviceLanes: () => readonly string[];
     readonly callAdvice: (laneId: string, request: AdviceRequest) => Promise<AdviceAnswer>;
-    /** The platform's VMs and where the operator is shown a wave's state; undefined where nobody asks for upkeep. */
+    /** The platform's VMs, and the row that shows a wave's state to the operator; left out where the platform has no upkeep. */
     readonly upkeep?: {
         readonly port: VmPort;
         readonly holderId: string;
-        /** How long an order of a former owner may still arrive; 0 where the platform refuses lower fencing tokens. */
+        /** How long a request sent by a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
         readonly settleMs: number;
         readonly stateRow: (wave: number, state: WaveState) => RowKey & { readonly value: string; };
     };
-    /** How old what is known of the list of workers, or of the configuration, may be. */
+    /** Age in ms of the worker list or of the configuration, whichever is older; `Infinity` before both have been read. */
     readonly newsAgeMs: () => number;
-    /** Another daemon owns the shard by now. */
+    /** Called when the owner has stopped by itself, because another daemon owns the shard or may own it. */
     readonly onFenced: (reason: string) => void;
 }
 
 /** The running owner of a shard. */
 export interface ShardOwner {
     readonly fencingToken: number;
-    /** Resolves once the job is durable; the same id again is the same job. */
+    /** Resolves once the job is durable; a repeated id denotes the same job. */
     submit(submission: JobSubmission): Promise<void>;
-    /** Undefined where the caller's organisation has no such job. */
+    /** Returns the job's state; undefined where the caller's organisation has no such job. */
     jobState(job: JobReference): Promise<JobStatus | undefined>;
-    /** False where the caller's organisation has no such job; resolves once the cancel is durable. */
+    /** Cancels a job and resolves once this is durable; false where the caller's organisation has no such job. */
     cancel(job: JobReference): Promise<boolean>;
-    /** Jobs accepted of which no task has started, by queue. */
+    /** Number of accepted jobs of which no task has started, by queue. */
     pending(): Readonly<Record<string, number>>;
     updateConfiguration(configuration: CellConfiguration): void;
-    /** All workers that are listed now, those whose entries cannot be read, and how old the list before may have been. */
+    /** Passes all listed workers, the ids of those whose entries cannot be read, and the age of the former list in ms. */
     updateWorkers(entries: readonly WorkerEntry[], unreadable: ReadonlySet<string>, formerAgeMs: number): void;
-    /** All waves of upkeep that the operator asks for. */
+    /** Passes all waves of upkeep that the operator has requested. */
     updateWaves(waves: readonly UpkeepWave[]): void;
+    /** Schedules a pass over the waiting steps and the pending calls to the advisor. */
     wake(): void;
+    /** How long the commit in progress has waited for the store, in ms; 0 where there is none. */
     stalledMs(): number;
-    /** How late this process's timers are, on average over the last second or so. */
+    /** How late this process's timers fire, in ms, on average over about the last second. */
     lagMs(): number;
-    /** Resolves when all changes so far are durable. */
+    /** Resolves once all changes so far are durable. */
     idle(): Promise<void>;
     close(): void;
 }
 
-/** Interval of the checks that depend on time alone: leases, due occurrences, expired advice. */
+/** Interval of the checks that depend only on time: leases, due occurrences, expired advice. */
 const tickMs = 100;
-/** Weight of the newest tick in the average of its lateness: about a second's memory. */
-const lagShare = 0.1;
-/** Where the store is well its news are 2.3 s old at the most; older ones may lack a worker that shrank or a cap that was lowered. */
+/** Weight of the newest tick in the moving average of its lateness, which covers about a second. */
+const lagSmoothing = 0.1;
+/**
+ * Age at which the worker list and the configuration count as stale. With a healthy store they are at most 2.3 s old; older ones
+ * may lack a worker that shrank or a cap that was lowered.
+ */
 const staleNewsMs = 3_000;
-/** A start waits no longer for news of them, for the store may answer in part for long; a call for changes takes up to 1 s. */
-const newsPatienceMs = 2_000;
+/**
+ * Longest wait of a start for fresh data, since the store may answer only some of its calls for a long time; a call for changes
+ * takes up to 1 s.
+ */
+const maxNewsWaitMs = 2_000;
 const newsPauseMs = 20;
-/** All that happens within this time shares one pass over the waiting steps. */
+/** Delay of a pass over the waiting steps, so that all events within this time share one pass. */
 const passDelayMs = 2;
-/** Passes take a third of the processor at the most, however many steps wait; looks, pings and commits need the rest. */
-const passRest = 2;
-/** Ended jobs are looked through this many ticks apart. */
+/**
+ * The next pass waits for this many times the duration of the last one. Passes thus take at most a third of the processor,
+ * however many steps wait; calls to workers, pings and commits need the rest.
+ */
+const passRestFactor = 2;
+/** Ticks between searches for ended jobs to delete. */
 const forgetIntervalTicks = 50;
-/** All accepted tasks are reviewed this many ticks apart: a task that an event has missed stands for a second at the most. */
+/** Ticks between reviews of all accepted tasks; a task that was missed by an event is delayed by at most a second. */
 const reviewIntervalTicks = 10;
 
-/** What an ended job was allowed to take; nothing for one that goes on, is scheduled, or has no objective. */
+/** Returns the latency objective of an ended job for its log line; empty for a job that goes on, is scheduled, or has none. */
 const objectiveOf = (job: ShardJob): { readonly objectiveMs?: number; } => {
     const objectiveMs = job.occurrences.get(0)?.course?.objectiveMs ?? Infinity;
     const counts = hasEnded(job) && job.submission.schedule.repeatCount === 0 && Number.isFinite(objectiveMs);
@@ -145,18 +156,20 @@
     const accounts = createAccounts();
     let queues = new Map<string, Queue>();
     let closed = false;
-    let passWanted = false;
-    /** How long the newest pass took. */
+    let passScheduled = false;
+    /** Duration of the newest pass. */
     let passMs = 0;
     let ticks = 0;
     let lagMs = 0;
     let tickDueMs = clock.monotonicMs() + tickMs;
     const startedAtMs = clock.monotonicMs();
-    const endedBefore = new Map<string, EndedJob>();
+    /** Jobs that ended under earlier owners, by id. */
+    const endedEarlier = new Map<string, EndedJob>();
     let nextOrder = 1;
     let rejectWaiting: (error: Error) => void = () => {};
 
-    const fenced = (reason: string): void => {
+    /** Stops this owner and reports that it does not own the shard any more. */
+    const stopFenced = (reason: string): void => {
         if (!closed) {
             close();
             options.onFenced(reason);
@@ -168,8 +181,11 @@
         return job === undefined ? { puts: [], removes: [{ table: endedTable, key: jobId }] } : encodeJob(job, clock);
     };
 
-    /** Commits are conditional on the claim, so that their versions are above it and below that of any successor. */
-    let newestToken = fencingToken;
+    /**
+     * Version of the claim or of the newest commit. Commits are conditional on the claim, so that their versions are above the
+     * claim's own and below that of any successor's claim.
+     */
+    let newestVersion = fencingToken;
     const commits = createCommitLog({
         clock,
         log,
@@ -182,9 +198,9 @@
         claimId,
         encode,
         onCommitted: version => {
-            newestToken = version;
+            newestVersion = version;
         },
-        onFenced: () => fenced("commit"),
+        onFenced: () => stopFenced("commit"),
     });
 
     const reader = createRowReader({ log, meter });
@@ -202,14 +218,14 @@
         const { state } = job;
         await commits.commit(job.submission.jobId);
         if (!job.stored) {
-            progress.noteAcceptance();
+            progress.recordAcceptance();
         }
         job.stored = true;
-        // A task may have started while this was written.
-        show(job, state === jobStates.queued && job.started ? jobStates.running : state);
+        // A task may have started during the commit.
+        showState(job, state === jobStates.queued && job.started ? jobStates.running : state);
     };
 
-    const show = (job: ShardJob, state: JobState): void => {
+    const showState = (job: ShardJob, state: JobState): void => {
         if (job.shown !== state) {
             const { submission: { jobId }, shown } = job;
             const failure = state === jobStates.failed ? job.failure : undefined;
@@ -221,19 +237,19 @@
         }
     };
 
-    /** Also of a job that is not durable yet, which has no state to show. */
-    const ownerOf = (jobId: string): string | undefined => {
+    /** Returns the organisation of a job, also of one that is not durable yet and has no visible state. */
+    const organisationOf = (jobId: string): string | undefined => {
         const job = jobs.get(jobId);
-        return job === undefined ? endedBefore.get(jobId)?.organisation : job.account.organisation;
+        return job === undefined ? endedEarlier.get(jobId)?.organisation : job.account.organisation;
     };
 
-    /** A job of another organisation is not there for a caller; one whose caller belonged to none is there for all. */
-    const mayAsk = ({ jobId, organisation }: JobReference): boolean => {
-        const owner = ownerOf(jobId) ?? "";
+    /** Jobs of other organisations are hidden from a caller; a job that belongs to no organisation is visible to all. */
+    const isVisible = ({ jobId, organisation }: JobReference): boolean => {
+        const owner = organisationOf(jobId) ?? "";
         return owner === "" || organisation === undefined || organisation === owner;
     };
 
-    const shownOf = (jobId: string): JobStatus | undefined => {
+    const shownStatusOf = (jobId: string): JobStatus | undefined => {
         const job = jobs.get(jobId);
         if (job?.shown === undefined) {
             return undefined;
@@ -243,16 +259,16 @@
 
     const statusOf = async (job: JobReference): Promise<JobStatus | undefined> => {
         const { jobId } = job;
-        const status = shownOf(jobId) ?? (await endedKnown).get(jobId) ?? shownOf(jobId);
-        return status === undefined || !mayAsk(job) ? undefined : { state: status.state, failure: status.failure };
+        const status = shownStatusOf(jobId) ?? (await endedKnown).get(jobId) ?? shownStatusOf(jobId);
+        return status === undefined || !isVisible(job) ? undefined : { state: status.state, failure: status.failure };
     };
 
-    /** That a job has begun need not be durable: a successor finds its runs at the workers, or their ends. */
-    const showStarted = (job: ShardJob): void => {
+    /** Marks a job as started. This is not committed, since a successor reads the job's runs, or their ends, from the workers. */
+    const markStarted = (job: ShardJob): void => {
         job.started = true;
         if (!hasEnded(job)) {
             job.state = jobStates.running;
-            show(job, job.state);
+            showState(job, job.state);
         }
     };
 
@@ -263,22 +279,22 @@
         settings,
         port: options.workers,
         fencingToken,
-        newestToken: () => newestToken,
+        newestToken: () => newestVersion,
         jobOf: jobId => jobs.get(jobId),
-        changed: job => changed(job),
+        changed: job => commitChange(job),
         onNextIncarnation: workerId => {
             for (const job of jobs.values()) {
                 forgetWorker(job, workerId);
             }
         },
-        onStarted: showStarted,
+        onStarted: markStarted,
         wake: () => wake(),
         onKnown: () => review.runFirst(),
-        onFenced: () => fenced("worker"),
+        onFenced: () => stopFenced("worker"),
     });
 
-    /** After a change: what follows from it, and its commit. */
-    const changed = (job: ShardJob): Promise<void> => {
+    /** Applies the consequences of a change of a job, and commits it. */
+    const commitChange = (job: ShardJob): Promise<void> => {
         if (hasEnded(job)) {
             placing.forget(job);
         }
@@ -296,22 +312,22 @@
         });
     };
 
-    const desk = createAdviceDesk({ clock, log, meter, lanes: options.adviceLanes, call: options.callAdvice });
+    const adviceDesk = createAdviceDesk({ clock, log, meter, lanes: options.adviceLanes, call: options.callAdvice });
 
     /**
-     * After an outage the store may make an intent durable before it tells of workers and of the configuration again: what has
-     * shrunk, drains or was lowered meanwhile would be used as it was.
+     * Waits until the worker list and the configuration are fresh. After an outage the store may commit a planned start before it
+     * delivers changes again; the start would then ignore workers that shrank or drain, and caps that were lowered meanwhile.
      */
-    const freshNews = async (): Promise<void> => {
-        const untilMs = clock.monotonicMs() + newsPatienceMs;
+    const waitForFreshNews = async (): Promise<void> => {
+        const untilMs = clock.monotonicMs() + maxNewsWaitMs;
         while (!closed && options.newsAgeMs() > staleNewsMs && clock.monotonicMs() < untilMs) {
             await sleep(clock, newsPauseMs);
         }
     };
 
     /**
-     * Whether a planned run may be sent now: its worker may have drained, shrunk, fallen silent or gone while the intent was
-     * written. An order to a silent worker is lost, or meets an incarnation that nobody knows yet.
+     * Returns whether a planned run may be sent to its worker, which may have drained, shrunk, become silent or gone while the plan
+     * was committed. An order to a silent worker is lost, or reaches an incarnation that is not listed yet.
      */
     const isStartable = (run: ShardRun): boolean => {
         const worker = workers.all.get(run.workerId);
@@ -321,23 +337,23 @@
     };
 
     const startPlanned = (job: ShardJob, runs: readonly ShardRun[]): void => {
-        void commit(job).then(freshNews).then(() => {
-            // A gang of which one member cannot be sent would wait for it in vain.
+        void commit(job).then(waitForFreshNews).then(() => {
+            // A gang is not started where one of its members cannot be sent, since the others would wait for it indefinitely.
             const isBroken = runs.some(run => run.task.step.spec.gang) && !runs.every(isStartable);
-            const none = closed || hasEnded(job) || isBroken;
+            const abandonAll = closed || hasEnded(job) || isBroken;
             for (const run of runs) {
                 const worker = workers.all.get(run.workerId);
                 if (worker === undefined || run.phase !== runPhases.planned || !run.task.runs.includes(run)) {
                     continue;
                 }
-                if (none || !isStartable(run)) {
+                if (abandonAll || !isStartable(run)) {
                     dropRun(worker, run);
-                    void changed(job);
+                    void commitChange(job);
                     continue;
                 }
                 const ticket = run.task.step.advice.good.get(run.workerId)?.ticket ?? "";
                 workers.start(run, ticket);
-                progress.noteStart();
+                progress.recordStart();
             }
         });
     };
@@ -348,7 +364,7 @@
         meter,
         settings,
         workers: workers.all,
-        desk,
+        desk: adviceDesk,
         onPlanned: startPlanned,
         onPreempt: workers.stop,
         wake: () => wake(),
@@ -357,12 +373,12 @@
     const review = createTaskReview({ clock, log, meter, jobs, workers: workers.all, placing });
 
     const wake = (): void => {
-        if (passWanted || closed) {
+        if (passScheduled || closed) {
             return;
         }
-        passWanted = true;
-        clock.setTimer(Math.max(passDelayMs, passRest * passMs), () => {
-            passWanted = false;
+        passScheduled = true;
+        clock.setTimer(Math.max(passDelayMs, passRestFactor * passMs), () => {
+            passScheduled = false;
             if (!closed) {
                 const beganAtMs = clock.monotonicMs();
                 placing.pass();
@@ -371,7 +387,7 @@
         });
     };
 
-    const openDue = (): void => {
+    const openDueOccurrences = (): void => {
         const wallMs = clock.nowMs();
         for (const job of jobs.values()) {
             const { startAtMs, intervalMs, repeatCount } = job.submission.schedule;
@@ -391,11 +407,11 @@
         }
     };
 
-    const forgetOld = (nowMs: number): void => {
-        // What ended under earlier owners is counted from this owner's start.
+    const forgetExpiredJobs = (nowMs: number): void => {
+        // The retention of jobs that ended under earlier owners counts from this owner's start.
         if (nowMs - startedAtMs > settings.retentionMs) {
-            for (const jobId of endedBefore.keys()) {
-                endedBefore.delete(jobId);
+            for (const jobId of endedEarlier.keys()) {
+                endedEarlier.delete(jobId);
                 void commits.commit(jobId);
             }
         }
@@ -408,8 +424,8 @@
     };
 
     /**
-     * An owner that neither the store nor most workers answer may have been replaced by one that it cannot see; it stops
-     * renewing leases soon enough for the successor's count of them.
+     * Returns whether neither the store nor most workers answer this owner. It may then have been replaced without receiving the
+     * new owner row, and must stop renewing leases before `formerOwnerMs`, the time that its successor allows for this, is over.
      */
     const isCutOff = (nowMs: number): boolean => {
         const silent =
@@ -423,7 +439,7 @@
         return nowMs - commits.answeredAtMs() > settings.cutOffMs && commits.stalledMs() > settings.silentMs;
     };
 
-    /** An account that counts a run which is gone would hold its organisation back for good. */
+    /** Corrects the accounts by the runs of all workers; one that still counts an ended run would limit its organisation for ever. */
     const reviewAccounts = (): void => {
         const held = [...workers.all.values()].flatMap(worker =>
             [...worker.runs.values()].map(run => ({ account: jobOf(run).account, held: run.held }))
@@ -440,16 +456,16 @@
         }
         ticks += 1;
         const nowMs = clock.monotonicMs();
-        lagMs += lagShare * (nowMs - tickDueMs - lagMs);
+        lagMs += lagSmoothing * (nowMs - tickDueMs - lagMs);
         tickDueMs = nowMs + tickMs;
         if (isCutOff(nowMs)) {
-            fenced("cutOff");
+            stopFenced("cutOff");
             return;
         }
         workers.checkLeases(nowMs);
-        openDue();
+        openDueOccurrences();
         if (ticks % forgetIntervalTicks === 0) {
-            forgetOld(nowMs);
+            forgetExpiredJobs(nowMs);
         }
         if (ticks % reviewIntervalTicks === 0) {
             review.run();
@@ -459,25 +475,26 @@
         if (placing.readySteps() > 0) {
             wake();
         }
-        desk.wake();
+        adviceDesk.wake();
         clock.setTimer(tickMs, tick);
     };
 
-    const endOfOffice = new Promise<never>((_resolve, reject) => {
+    /** Rejects with `mayHaveRun` once this daemon no longer owns the shard. */
+    const ownershipEnd = new Promise<never>((_resolve, reject) => {
         rejectWaiting = reject;
     });
-    endOfOffice.catch(() => {});
+    ownershipEnd.catch(() => {});
 
     const close = (): void => {
         closed = true;
-        rejectWaiting(errorOf({ kind: "mayHaveRun", message: "this daemon owns the shard no more" }));
+        rejectWaiting(errorOf({ kind: "mayHaveRun", message: "this daemon no longer owns the shard" }));
         commits.stop();
-        desk.close();
+        adviceDesk.close();
         workers.close();
         upkeep?.close();
     };
 
-    const restore = (): void => {
+    const restoreFromRows = (): void => {
         const restored = restoreJobs(claimed.rows, { reader, accounts, clock });
         for (const job of restored.jobs) {
             nextOrder = Math.max(nextOrder, job.order + 1);
@@ -491,7 +508,7 @@
         log.write("info", "shardRestored", { part, fencingToken, jobs: jobs.size, runs: restored.runs.length });
     };
 
-    /** Jobs that ended under earlier owners, by id, with their states; they are read while the others go on already. */
+    /** Reads the jobs that ended under earlier owners, by id with their states, while the other jobs are already being placed. */
     const readEnded = async (): Promise<ReadonlyMap<string, EndedJob>> => {
         const read = await readAllRows({
             clock,
@@ -504,11 +521,11 @@
         for (const row of read?.rows ?? []) {
             const status = reader.entryOf(row, decodeEnded(row));
             if (status !== undefined) {
-                endedBefore.set(row.key, status);
+                endedEarlier.set(row.key, status);
             }
         }
-        log.write("info", "endedRead", { part, jobs: endedBefore.size, complete: read !== undefined });
-        return read === undefined ? endOfOffice : endedBefore;
+        log.write("info", "endedRead", { part, jobs: endedEarlier.size, complete: read !== undefined });
+        return read === undefined ? ownershipEnd : endedEarlier;
     };
 
     const openUpkeep = (): Upkeep | undefined => {
@@ -541,7 +558,7 @@
         });
     };
 
-    restore();
+    restoreFromRows();
     const upkeep = openUpkeep();
     const endedKnown = readEnded();
     endedKnown.catch(() => {});
@@ -569,7 +586,7 @@
             }
         },
         endedKnown,
-        endOfOffice,
+        endOfOffice: ownershipEnd,
     });
 
     const cancel = async (wanted: JobReference): Promise<boolean> => {
@@ -577,14 +594,14 @@
         const job = jobs.get(jobId);
         if (job === undefined) {
             const hasEndedBefore = (await endedKnown).has(jobId);
-            return hasEndedBefore ? mayAsk(wanted) : jobs.has(jobId) && cancel(wanted);
+            return hasEndedBefore ? isVisible(wanted) : jobs.has(jobId) && cancel(wanted);
         }
-        if (!mayAsk(wanted)) {
+        if (!isVisible(wanted)) {
             return false;
         }
         cancelJob(job, clock.monotonicMs());
         log.write("info", "jobCancelled", { jobId, state: job.state });
-        await Promise.race([changed(job), endOfOffice]);
+        await Promise.race([commitChange(job), ownershipEnd]);
         return true;
     };
 
@@ -614,7 +631,7 @@
         updateWaves: waves => upkeep?.update(waves),
         wake: () => {
             wake();
-            desk.wake();
+            adviceDesk.wake();
         },
         stalledMs: commits.stalledMs,
         lagMs: () => lagMs,
--- a/packages/puffinarch/src/core/shard/shardSettings.ts
+++ b/packages/puffinarch/src/core/shard/shardSettings.ts
@@ -1,21 +1,21 @@
-/** Figures that a shard's owner works with; each can be set. */
+/** Timings, limits and policies of a shard's owner; all can be configured. */
 
 import type { Packing } from "./chooseWorker.js";
 import type { TurnOrder } from "./urgency.js";
 
-/** Ways to decide; each names an entry of a table, so that one can be compared with another on live work. */
+/** Scheduling policies, each selected by name, so that alternatives can be compared on live work. */
 export interface ShardPolicies {
-    /** In which order waiting steps take their turn. */
+    /** Order in which waiting steps are placed. */
     readonly order: TurnOrder;
-    /** How full workers are preferred. */
+    /** Which of the workers with free room are preferred. */
     readonly packing: Packing;
-    /** Whether room is kept, and less urgent runs are stopped, for tasks that find none. */
+    /** Whether room is reserved, and less urgent runs are preempted, for tasks that do not fit anywhere. */
     readonly room: RoomPolicy;
 }
 
 /**
- * `planned`: room is kept for tasks that need much of a worker, and runs that give way are stopped for urgent ones.
- * `none`: whoever finds room takes it.
+ * `planned`: room is reserved for tasks that need a large part of a worker, and preemptible runs are stopped for urgent tasks.
+ * `none`: tasks are started wherever there is room, without reservations or preemption.
  */
 export const roomPolicies = ["planned", "none"] as const;
 /** One of `roomPolicies`. */
@@ -23,47 +23,53 @@
 
 /** Timings and limits of a shard's owner. */
 export interface ShardSettings {
-    /** Lease of everything that runs; outlasts a takeover, and ends soon enough to run a lost worker's tasks again. */
+    /** Lease of each run; longer than a takeover, and short enough that the tasks of a lost worker soon run again. */
     readonly leaseMs: number;
-    /** The longest lease that a worker grants; a deadline on the clock of another incarnation of it gets as much. */
+    /**
+     * The longest lease that a worker grants. A run may hold it in full where its deadline was set for the clock of another
+     * incarnation of the worker.
+     */
     readonly leaseLimitMs: number;
-    /** How long a look may wait for an end; a third of the lease at most, so that two may fail. */
+    /**
+     * How long a worker may delay the answer to a look, the call that renews its leases and lists its runs, until a run ends. At
+     * most a third of the lease, so that two looks may fail.
+     */
     readonly lookWaitMs: number;
-    /** Pause between looks that bring nothing new to make durable. */
+    /** Pause between looks whose answers contain no changes to commit. */
     readonly lookPauseMs: number;
-    /** Pause before an order without an answer is sent again. */
+    /** Pause before an unanswered order to a worker is sent again. */
     readonly orderPauseMs: number;
     /**
-     * How long a start without an answer may still be carried out. Its task waits as long: accepted work may stand for 3 s once nothing
-     * has been wrong for 4 s, and a start goes unanswered only while something is.
+     * How long an unanswered start may still be carried out, and its task waits. Accepted work may wait at most 3 s beside free
+     * room once there has been no fault for 4 s; a start goes unanswered only during a fault.
      */
     readonly unansweredStartMs: number;
-    /** Whether each worker refuses tickets that were given for another incarnation of it. */
+    /** Whether workers refuse tickets of the advisor that were issued for another incarnation of the worker. */
     readonly ticketsNameIncarnation: boolean;
-    /** How long a replaced owner may go on renewing leases that its successor cannot see. */
+    /** How long a replaced owner may go on renewing leases unknown to its successor. */
     readonly formerOwnerMs: number;
-    /** How long a worker may take to stop a run; a bound of the platform. */
+    /** How long a worker may take to stop a run; a guarantee of the platform. */
     readonly stopMs: number;
-    /** A worker or a store without an answer for this long is silent; a look waits up to `lookWaitMs`. */
+    /** A worker or store that has not answered for this long counts as silent; must exceed `lookWaitMs`, the wait of a look. */
     readonly silentMs: number;
-    /** An owner to which neither the store nor most workers answered for this long stops; below `formerOwnerMs`. */
+    /** An owner that neither the store nor most workers have answered for this long gives the shard up; below `formerOwnerMs`. */
     readonly cutOffMs: number;
-    /** Commits that find no answer for this long let submissions be refused at once. */
+    /** Submissions are refused at once while commits have been unanswered for longer than this. */
     readonly refuseStalledMs: number;
-    /** A worker on which a run got stuck gets no work for this long. */
+    /** A worker on which a run got stuck receives no work for this long. */
     readonly stuckWorkerRestMs: number;
-    /** An ended job is forgotten after this. */
+    /** An ended job is deleted after this time. */
     readonly retentionMs: number;
-    /** Workers named in a call to the advisor where few tasks wait; the objective of a job counts 30. */
+    /** Workers per call to the advisor while few tasks wait; the objective of a job assumes 30. */
     readonly usualAdviceWorkers: number;
-    /** Most workers that a call may name; a bound of the platform. */
+    /** Most workers per call to the advisor; a limit of the platform. */
     readonly maxAdviceWorkers: number;
-    /** What a refused caller is told to wait. */
+    /** Retry delay returned to a refused caller. */
     readonly retryAfterMs: number;
     readonly policies: ShardPolicies;
 }
 
-/** What fits the sites of today; the figures are explained in docs/design/platform.md. */
+/** Default settings; docs/design/platform.md explains the values. */
 export const defaultShardSettings: ShardSettings = {
     leaseMs: 5_000,
     leaseLimitMs: 10_000,
