--- a/packages/puffinarch/src/core/shard/jobBook.ts
+++ b/packages/puffinarch/src/core/shard/jobBook.ts
@@ -1,4 +1,7 @@
-/** Jobs of one shard in memory: their occurrences, steps, tasks and live runs, and the changes between their states. */
+/**
+ * In-memory model of one shard's jobs: their occurrences, steps, tasks and live runs, and the transitions between their states. "Local
+ * time" is the monotonic clock of this process.
+ */
 
 import type { RunEnd } from "../../types/cellPorts.js";
 import type { Resources } from "../../types/resources.js";
@@ -16,177 +19,195 @@
 } from "../../types/work.js";
 import { type Account, newAccount } from "./accounts.js";
 
-/** Phases of a run, from its plan to its end. */
+/** Phases of a run, from planning to its end. */
 export const runPhases = {
-    /** Reserved; its intent is not durable yet and nothing was sent. */
+    /** Capacity is reserved; the intent to start is not durable yet and no order was sent. */
     planned: "planned",
-    /** The order was sent and may have been carried out. */
+    /** The start order was sent and may have been carried out. */
     starting: "starting",
-    /** The worker has answered that it runs. */
+    /** The worker has confirmed that it runs. */
     running: "running",
-    /** A stop is under way; its room is held until the worker lists the end. */
+    /** A stop order is under way; the capacity stays reserved until the worker reports the end of the run. */
     stopping: "stopping",
 } as const;
 /** One of `runPhases`. */
 export type RunPhase = (typeof runPhases)[keyof typeof runPhases];
 
-/** One attempt at a task that holds room on a worker. */
+/** One attempt at a task, which reserves capacity on a worker. */
 export interface ShardRun {
     readonly task: ShardTask;
     readonly run: number;
     readonly workerId: string;
-    /** When the incarnation that it was planned for began, or a later one that does not have it; undefined where that is not known. */
+    /**
+     * When the worker incarnation began that it was planned for or, if that one refuses it, a later one that it was carried over to;
+     * undefined if unknown.
+     */
     bornAtMs: number | undefined;
-    /** Where its worker was reached when it was planned; empty where that is not known. */
+    /** Address of its worker at planning; empty if unknown. */
     readonly address: string;
-    /** What it holds of the worker's capacity. */
+    /** Capacity that it reserves on the worker. */
     readonly held: Resources;
     phase: RunPhase;
-    /** Local time at which its order was first sent; undefined before, and where another owner sent it. */
+    /** Local time at which its start order was first sent; undefined before that, and if a former owner sent it. */
     sentAtMs: number | undefined;
-    /** Local time from which a look that does not list it proves that it is gone; undefined before an answer. */
+    /**
+     * A status poll (`look`) that is sent after this local time and does not list the run proves that the run is gone; undefined until
+     * its order is answered or given up as unanswered.
+     */
     settledAtMs: number | undefined;
-    /** Whether a look at its worker has listed it; until then the incarnation that carried it out is not known. */
+    /** Whether a poll of its worker has listed it; before that, it is unknown which incarnation carried its order out. */
     shown: boolean;
     /**
-     * Local time until which its order may be carried out by any incarnation of its worker; undefined once it was answered, and where
-     * it holds for one incarnation only.
+     * Local time until which any incarnation of its worker may still carry out its start order; undefined once the order was answered,
+     * and for orders that only one incarnation accepts.
      */
     mayArriveUntilMs: number | undefined;
-    /** Whether the worker's present incarnation neither runs it nor will. */
+    /** Whether the worker's current incarnation does not run it and would refuse its order. */
     absent: boolean;
-    /** An incarnation between two that answered may have carried its order out, and crashed by it. */
+    /** A worker incarnation that this owner never polled may have carried out its order and crashed because of it. */
     mayHaveCrashed: boolean;
-    /** Local time at which the worker first showed it at work. */
+    /** Local time at which its worker first confirmed that it runs. */
     startedAtMs: number | undefined;
-    /** Latest share of the processor and progress that a look showed. */
+    /** Share of time in percent that it may work, and its activity figure (`RunningRun.figure`), as the newest poll reported them. */
     percent: number;
     figure: number;
-    /** Local time since which every look showed it using no processor; undefined while it uses some. */
+    /** Local time since which every poll has reported that it uses no CPU; undefined while it uses some. */
     idleSinceMs: number | undefined;
 }
 
-/** A run that was lost with a silent worker, as its lease was over. */
+/** A run whose worker stopped answering until its lease expired. Whether the worker crashed is not known yet. */
 export interface UnresolvedLoss {
     readonly run: number;
     readonly workerId: string;
-    /** When the incarnation began that had it; undefined where that is not known. */
+    /** When the worker incarnation that had it began; undefined if unknown. */
     readonly bornAtMs: number | undefined;
-    /** Where its worker was reached. */
+    /** Address of its worker. */
     readonly address: string;
     /** Local time at which it was lost. */
     readonly lostAtMs: number;
-    /** Nothing else there can have crashed its worker. */
+    /** If the worker crashed, no task of another job can be the cause. */
     readonly alone: boolean;
-    /** Its worker had said that it runs. */
+    /** Its worker had confirmed the run, and stopped answering with a lost connection, as after a crash. */
     readonly confirmed: boolean;
 }
 
-/** One task of a step. */
+/** A task of a step, with the state of its attempts. */
 export interface ShardTask {
     readonly step: ShardStep;
     readonly index: number;
     readonly name: string;
     done: boolean;
-    /** Highest run number used so far. */
+    /** Highest run number assigned so far. */
     lastRun: number;
     failures: number;
     checkpoint: string;
-    /** Workers that crashed soon after they had started it. */
+    /** Number of workers that crashed soon after they had started it. */
     crashes: number;
-    /** Further ones that went down together with many others, which it cannot have crashed. */
+    /**
+     * Number of further crashes that are attributed to another cause, since several workers without a task of its job went down at the
+     * same moment.
+     */
     crashesExcused: number;
-    /** Runs of it that were lost with workers of which nobody knows yet whether they crashed. */
+    /** Its runs on workers that stopped answering and of which it is not known yet whether they crashed. */
     readonly unresolvedLosses: UnresolvedLoss[];
-    /** Those of `crashes` before which no worker had said that it runs the task, or that nobody saw. */
+    /** How many of `crashes` are unconfirmed: the worker had not confirmed the run, or its crash was not observed. */
     crashesUnconfirmed: number;
-    /** Starts of it that a worker may have carried out and crashed by between two answers; none of them is among `crashes`. */
+    /** Number of start orders that an unobserved incarnation may have carried out and crashed because of; not included in `crashes`. */
     possibleCrashes: number;
-    /** Run that a worker had said to run before it fell silent, so that a successor counts its crash as confirmed; 0 for none. */
+    /**
+     * Run that its worker had confirmed before it stopped answering, stored so that a successor counts a crash under it as confirmed; 0
+     * for none.
+     */
     confirmedRun: number;
-    /** Highest run that was at work long enough to show that the task crashes nothing. */
+    /** Highest run that ran long enough to show that the task does not crash its workers. */
     soundRun: number;
-    /** Local time since which it wants a worker for itself; undefined while it does not. */
+    /** Local time since which it waits for a worker of its own, as a task that may crash workers; undefined if it does not wait for one. */
     trialWantedAtMs: number | undefined;
     readonly runs: ShardRun[];
-    /** Workers on which it failed, and the local time of the newest failure there. */
+    /** Local time of the task's newest failure on each worker, by worker ID. */
     readonly failedOn: Map<string, number>;
 }
 
-/** Answers of the advisor for one step. */
+/** What is known of the advisor's answers for one step. */
 export interface StepAdvice {
-    /** Workers that were named in a call. */
+    /** IDs of the workers that the advisor was asked about. */
     readonly asked: Set<string>;
-    /** Workers that may run the step, which does not change, and their newest tickets. */
+    /** Newest ticket for each worker that may run the step, by worker ID. The advisor never changes its decision; only tickets expire. */
     readonly good: Map<string, { ticket: string; validUntilMs: number; }>;
     inFlight: boolean;
-    /** No call before this local time. */
+    /** Earliest local time of the next call. */
     notBeforeMs: number;
 }
 
-/** One step of one occurrence. */
+/** A step of an occurrence, with its tasks and how long it has waited to be placed. */
 export interface ShardStep {
     readonly occurrence: ShardOccurrence;
     readonly number: number;
     readonly spec: Step;
     readonly tasks: readonly ShardTask[];
-    /** Tasks that are not done. */
+    /** Number of tasks that are not done. */
     open: number;
-    /** Gangs: runs of the whole gang that failed, and the newest run that was counted so. */
+    /** For a gang: number of failed runs of the whole gang, and the newest run number that was counted. */
     gangFailures: number;
     gangFailedRun: number;
     readonly advice: StepAdvice;
-    /** Local time at which it became ready. */
+    /** Local time at which it became ready, with all steps done that it depends on. */
     readyAtMs: number;
-    /** Local time since which it has been blocked beside room for it; undefined where it is not. */
+    /**
+     * Local time since which it has been blocked although workers have capacity for it, moved back by `blockedBeforeMs`; undefined while
+     * it is not blocked.
+     */
     blockedAtMs: number | undefined;
-    /** For how long it was blocked before that, since its newest start. */
+    /** Time that it was blocked before the current wait, since its newest start. */
     blockedBeforeMs: number;
-    /** Others that waited long took room kept for it so often, and may do so again from this local time on. */
+    /**
+     * How often steps that waited long took capacity that was reserved for this one, and the earliest local time at which that may happen
+     * again.
+     */
     timesPassed: number;
     passableAtMs: number;
 }
 
-/** One occurrence of a job's steps. */
+/** An occurrence of a job: one execution of all of its steps. */
 export interface ShardOccurrence {
     readonly job: ShardJob;
     readonly number: number;
     readonly steps: readonly ShardStep[];
-    /** Undefined until the workers are known. */
+    /** Undefined until workers are listed, which the objective is computed from. */
     course: OccurrenceCourse | undefined;
 }
 
-/** The time that an occurrence may take, and what is expected of its steps. */
+/** Time limits of one occurrence: its objective, and the expected time that is left from each of its steps on. */
 export interface OccurrenceCourse {
-    /** `Infinity` where its queue has no objective. */
+    /** Time from its beginning within which it should end; `Infinity` if its queue has no objective. */
     readonly objectiveMs: number;
-    /** Expected time from the start of each step to the end of the job. */
+    /** Expected time from the start of each step to the end of the job, by step number. */
     readonly tailsMs: readonly number[];
 }
 
-/** One job. */
+/** A job of the shard, from its submission until it is forgotten after its end. */
 export interface ShardJob {
     readonly submission: JobSubmission;
-    /** Of its organisation; all jobs of one share it. */
+    /** Resource use of its organisation; shared by all jobs of that organisation. */
     readonly account: Account;
-    /** Its organisation had submitted more than its share by then. */
+    /** The organisation had already used up its share of submissions when this job was submitted. */
     readonly beyondShare: boolean;
     queue: Queue;
-    /** Milliseconds since the Unix epoch. */
+    /** Time of its submission, in milliseconds since the Unix epoch. */
     readonly acceptedAtMs: number;
-    /** Order of acceptance since the shard has existed. */
+    /** Position in the order of acceptance, over the shard's whole lifetime. */
     readonly order: number;
     readonly occurrences: Map<number, ShardOccurrence>;
-    /** Occurrences that are done, and therefore no longer kept. */
+    /** Numbers of the occurrences that are done; their steps are dropped once no run of them is left. */
     readonly doneOccurrences: Set<number>;
     state: JobState;
     started: boolean;
     endedAtMs: number | undefined;
-    /** Why it was given up; undefined where it was not. */
+    /** Why it failed; undefined if it did not. */
     failure: JobFailure | undefined;
-    /** What callers may see; undefined before the acceptance is durable. */
+    /** State that callers are shown; undefined until the acceptance is durable. */
     shown: JobState | undefined;
-    /** True once the submission's own row is durable. */
+    /** Whether the row with the submission is durable. */
     stored: boolean;
 }
 
@@ -235,7 +256,7 @@
 };
 
 /**
- * Opens an occurrence of a job with all its tasks waiting.
+ * Creates an occurrence of a job with all of its tasks waiting.
  *
  * @example
  * openOccurrence(job, 0).steps.length;
@@ -251,7 +272,7 @@
 };
 
 /**
- * Makes the entry of a job; occurrence 0 of a job without a schedule is open at once.
+ * Creates a job. Occurrence 0 of a job without a schedule is created with it.
  *
  * @example
  * const job = newJob(submission, queue, { acceptedAtMs: clock.nowMs(), order: 1 });
@@ -289,15 +310,15 @@
 };
 
 /**
- * Tells whether a job changes no more.
+ * Tells whether a job is in a final state. Runs of it may be left that have yet to be stopped.
  *
  * @example
- * hasEnded(job); // false while a task may still run
+ * hasEnded(job); // false for a queued or running job
  */
 export const hasEnded = (job: ShardJob): boolean => job.state !== jobStates.queued && job.state !== jobStates.running;
 
 /**
- * Tells whether all steps that a step waits for are done.
+ * Tells whether all steps that a step depends on are done.
  *
  * @example
  * isReady(step); // true for a first step
@@ -306,7 +327,7 @@
     spec.after.every(number => occurrence.steps[number]?.open === 0);
 
 /**
- * Tells whether a task needs a run and has none.
+ * Tells whether a task is not done and has no live run.
  *
  * @example
  * isWaiting(task);
@@ -314,10 +335,10 @@
 export const isWaiting = (task: ShardTask): boolean => !task.done && task.runs.length === 0;
 
 /**
- * Tells whether a task, or its gang, is given up if it fails once more. A task that lasts is never given up for that.
+ * Tells whether the next failure of a task, or of its gang, uses up its last attempt. Long-running tasks have no limit of attempts.
  *
  * @example
- * hasOneAttempt(task); // true for a task that has failed twice, where its queue allows three attempts
+ * isOnLastAttempt(task); // true for a task that has failed twice, where its queue allows three attempts
  */
 export const hasOneAttempt = ({ step, failures }: ShardTask): boolean => {
     const { spec, gangFailures, occurrence } = step;
@@ -325,20 +346,21 @@
     return !spec.longRunning && used + 1 >= occurrence.job.queue.attempts;
 };
 
-/** Expected length of a run without an estimate. */
-const unknownRunMs = 1_000;
+/** Assumed run time of a task without an estimate. */
+const defaultEstimateMs = 1_000;
 
-/** How long a run is expected to take; `Infinity` for one that lasts. */
+/** Expected run time; `Infinity` for a long-running task. */
 export const estimatedRunMs = ({ task }: ShardRun): number => {
     const { estimateMs, longRunning } = task.step.spec;
     if (longRunning) {
         return Infinity;
     }
-    return estimateMs === 0 ? unknownRunMs : estimateMs;
+    return estimateMs === 0 ? defaultEstimateMs : estimateMs;
 };
 
 /**
- * Gives the local time at which a run is expected to end, in the past for one that is overdue.
+ * Returns the local time at which a run is expected to end, in the past for one that is overdue. A run that has not started is counted
+ * from now.
  *
  * @example
  * estimatedEndMs(run, clock.monotonicMs());
@@ -347,7 +369,7 @@
     (run.startedAtMs ?? nowMs) + estimatedRunMs(run);
 
 /**
- * Names a step as the advisor and the log do: job, occurrence and step.
+ * Returns the name of a step as it is used in calls to the advisor and in the log: job, occurrence and step number.
  *
  * @example
  * stepNameOf(step); // "5c0e7a21d94b36f8.0.1"
@@ -355,11 +377,11 @@
 export const stepNameOf = ({ occurrence, number }: ShardStep): string =>
     `${occurrence.job.submission.jobId}.${occurrence.number}.${number}`;
 
-/** What a task of a step holds of a worker: tasks that fill use processors that others leave unused. */
+/** Capacity that a task of a step reserves on a worker. Tasks that only use spare CPU (`fills`) reserve none. */
 export const heldBy = ({ size, fills }: Step): Resources => fills ? { ...size, cpuMillis: 0 } : size;
 
 /**
- * Makes a run of a task, planned unless said otherwise; it holds no room yet.
+ * Creates a run of a task, in the phase `planned` unless `known` overrides it. It reserves no capacity yet.
  *
  * @example
  * const run = newRun(task, "i-7f3a91c2", 1);
@@ -386,7 +408,7 @@
 });
 
 /**
- * Finds a task by its name; undefined where its job, or the occurrence, is not kept.
+ * Finds a task by its name; undefined if its job is unknown or its occurrence is no longer kept.
  *
  * @example
  * findTask(jobId => jobs.get(jobId), "5c0e7a21d94b36f8.0.1.17");
@@ -401,28 +423,28 @@
         : jobOf(name.jobId)?.occurrences.get(name.occurrence)?.steps[name.step]?.tasks[name.index];
 };
 
-/** Number of occurrences that a job has in all. */
-const occurrencesOf = ({ submission }: ShardJob): number => Math.max(1, submission.schedule.repeatCount);
+/** Number of occurrences that a job has over its whole schedule. */
+const occurrenceCount = ({ submission }: ShardJob): number => Math.max(1, submission.schedule.repeatCount);
 
-const settleJob = (job: ShardJob, state: JobState, nowMs: number): void => {
+const endJob = (job: ShardJob, state: JobState, nowMs: number): void => {
     job.state = state;
     job.endedAtMs = nowMs;
 };
 
 /**
- * Ends a job that its caller wants no more.
+ * Cancels a job that has not ended.
  *
  * @example
  * cancelJob(job, clock.monotonicMs());
  */
 export const cancelJob = (job: ShardJob, nowMs: number): void => {
     if (!hasEnded(job)) {
-        settleJob(job, jobStates.cancelled, nowMs);
+        endJob(job, jobStates.cancelled, nowMs);
     }
 };
 
 /**
- * Gives a job up that cannot be done.
+ * Marks a job that has not ended as failed.
  *
  * @example
  * failJob(job, { cause: "attempts", taskName: task.name, count: 3 }, clock.monotonicMs());
@@ -430,25 +452,25 @@
 export const failJob = (job: ShardJob, failure: JobFailure, nowMs: number): void => {
     if (!hasEnded(job)) {
         job.failure = failure;
-        settleJob(job, jobStates.failed, nowMs);
+        endJob(job, jobStates.failed, nowMs);
     }
 };
 
-const closeTask = (task: ShardTask): void => {
+const markTaskDone = (task: ShardTask): void => {
     if (!task.done) {
         task.done = true;
         task.step.open -= 1;
     }
 };
 
-const closeFinished = ({ occurrence }: ShardStep, nowMs: number): void => {
+const completeIfFinished = ({ occurrence }: ShardStep, nowMs: number): void => {
     const { job } = occurrence;
     if (occurrence.steps.some(step => step.open > 0)) {
         return;
     }
     job.doneOccurrences.add(occurrence.number);
-    if (job.doneOccurrences.size === occurrencesOf(job) && !hasEnded(job)) {
-        settleJob(job, jobStates.completed, nowMs);
+    if (job.doneOccurrences.size === occurrenceCount(job) && !hasEnded(job)) {
+        endJob(job, jobStates.completed, nowMs);
     }
 };
 
@@ -465,17 +487,17 @@
     return step.gangFailures;
 };
 
-/** Handlers for each way a run can end; they change the task, its step and its job. */
+/** For each way in which a run can end, the changes to the task, its step and its job. */
 const endHandlers: Readonly<Record<RunEnd, (task: ShardTask, run: number, nowMs: number) => void>> = {
     done: (task, _run, nowMs) => {
         if (task.step.spec.longRunning) {
             return;
         }
         for (const each of task.step.spec.gang ? task.step.tasks : [task]) {
-            closeTask(each);
+            markTaskDone(each);
         }
         if (task.step.open === 0) {
-            closeFinished(task.step, nowMs);
+            completeIfFinished(task.step, nowMs);
         }
     },
     failed: (task, run, nowMs) => {
@@ -492,10 +514,10 @@
 };
 
 /**
- * Takes the end of a run into its task, step and job.
+ * Applies the end of a run to its task, step and job: its checkpoint, and completion or one more failure.
  *
  * @example
- * applyEnd(task, 1, "done", "", clock.nowMs());
+ * applyRunEnd(task, 1, "done", "", clock.nowMs());
  */
 export const applyEnd = (task: ShardTask, run: number, how: RunEnd, checkpoint: string, nowMs: number): void => {
     if (task.done) {
@@ -509,19 +531,19 @@
     endHandlers[how](task, run, nowMs);
 };
 
-const hasRuns = ({ steps }: ShardOccurrence): boolean =>
+const hasLiveRuns = ({ steps }: ShardOccurrence): boolean =>
     steps.some(step => step.tasks.some(task => task.runs.length > 0));
 
 /**
- * Tells whether nothing of a job holds room any more, and lets go of occurrences that are done.
+ * Drops the occurrences of a job that are done and have no live runs; returns whether no run of the job reserves capacity any more.
  *
  * @example
- * const settled = letGo(job);
+ * const isReleased = pruneDoneOccurrences(job);
  */
 export const letGo = (job: ShardJob): boolean => {
     let settled = true;
     for (const [number, occurrence] of job.occurrences) {
-        if (hasRuns(occurrence)) {
+        if (hasLiveRuns(occurrence)) {
             settled = false;
         }
         else if (job.doneOccurrences.has(number)) {
@@ -531,7 +553,7 @@
     return settled;
 };
 
-/** All steps of a job's open occurrences. */
+/** Iterates over the steps of a job's open occurrences. */
 export const stepsOf = function*(job: ShardJob): Generator<ShardStep> {
     for (const occurrence of job.occurrences.values()) {
         yield* occurrence.steps;
@@ -539,7 +561,8 @@
 };
 
 /**
- * Forgets what a job knows of a worker's former incarnation: tickets hold for one incarnation, and the next one has failed no task.
+ * Drops what a job has recorded about a worker's former incarnation: tickets are valid for one incarnation only, and the new one has
+ * failed no task.
  *
  * @example
  * forgetWorker(job, "i-7f3a91c2");
@@ -557,10 +580,10 @@
     }
 };
 
-/** The job that a run belongs to. */
+/** Returns the job that a run belongs to. */
 export const jobOf = ({ task }: ShardRun): ShardJob => task.step.occurrence.job;
 
-/** All live runs of a job. */
+/** Iterates over the live runs of a job. */
 export const runsOf = function*(job: ShardJob): Generator<ShardRun> {
     for (const step of stepsOf(job)) {
         for (const task of step.tasks) {
--- a/packages/puffinarch/src/core/shard/jobRowSchemas.ts
+++ b/packages/puffinarch/src/core/shard/jobRowSchemas.ts
@@ -1,40 +1,43 @@
-/** Shapes of a shard's own rows, checked when a successor reads them; fields that former versions did not write have defaults. */
+/**
+ * Schemas of the rows that a shard stores for its jobs, validated when they are read. Fields that earlier versions did not write have
+ * defaults.
+ */
 
 import { z } from "zod";
 import { type FailureCause, failureCauses, type JobState, jobStates } from "../../types/work.js";
 
-const text = z.string("a text");
-const whole = z.number("a whole number").int("a whole number").min(0, "0 or more");
-const amount = z.number("a number").min(0, "0 or more");
+const text = z.string("a string");
+const wholeNumber = z.number("a whole number").int("a whole number").min(0, "0 or more");
+const nonNegative = z.number("a number").min(0, "0 or more");
 const flag = z.boolean("true or false").default(false);
 const state = z.enum(Object.values(jobStates) as [JobState, ...JobState[]], "a state of a job");
-/** What a task holds, as a run's number and its worker's id. */
-const run = z.tuple([text, whole], "a worker and the number of a run");
+/** A live run of a task: its worker's ID and its run number. */
+const run = z.tuple([text, wholeNumber], "a worker and the number of a run");
 
-const resourcesSchema = z.object({ cpuMillis: amount, memoryMib: amount, accelerators: amount });
+const resourcesSchema = z.object({ cpuMillis: nonNegative, memoryMib: nonNegative, accelerators: nonNegative });
 
 const stepSchema = z.object({
-    count: whole.min(1, "one task at least"),
+    count: wholeNumber.min(1, "at least one task"),
     size: resourcesSchema,
-    estimateMs: amount.default(0),
-    after: z.array(whole, "numbers of steps").default([]),
+    estimateMs: nonNegative.default(0),
+    after: z.array(wholeNumber, "numbers of steps").default([]),
     checkpointing: flag,
     gang: flag,
     colocated: flag,
     requiredLabel: text.default(""),
     dataRack: text.default(""),
-    maxPerWorker: amount.default(0),
+    maxPerWorker: nonNegative.default(0),
     speculative: flag,
     longRunning: flag,
     image: text.default(""),
-    latencyObjectiveMs: amount.default(0),
+    latencyObjectiveMs: nonNegative.default(0),
     fills: flag,
-    mayMiss: amount.default(0),
+    mayMiss: nonNegative.default(0),
 });
 
-const stepsSchema = z.array(stepSchema, "a list of steps").min(1, "one step at least").refine(
+const stepsSchema = z.array(stepSchema, "a list of steps").min(1, "at least one step").refine(
     steps => steps.every(({ after }, index) => after.every(number => number < index)),
-    "steps that wait for earlier ones only",
+    "dependencies on earlier steps only",
 );
 
 const queueSchema = z.object({
@@ -42,15 +45,15 @@
     host: text,
     pathPrefix: text,
     service: text,
-    priority: amount,
-    attempts: amount,
-    timeoutMs: amount,
-    stretch: amount.default(0),
-    targetRuntimeMs: amount.default(0),
-    advice: z.object({ decideMs: amount, eachMs: amount, validMs: amount }).optional(),
+    priority: nonNegative,
+    attempts: nonNegative,
+    timeoutMs: nonNegative,
+    stretch: nonNegative.default(0),
+    targetRuntimeMs: nonNegative.default(0),
+    advice: z.object({ decideMs: nonNegative, eachMs: nonNegative, validMs: nonNegative }).optional(),
 });
 
-/** What a job was submitted with. */
+/** Schema of a submission row. */
 export const submissionSchema = z.object({
     submission: z.object({
         jobId: text.min(1, "an id"),
@@ -59,10 +62,10 @@
         dataCentre: text.default(""),
         payload: text,
         steps: stepsSchema,
-        schedule: z.object({ startAtMs: amount, intervalMs: amount, repeatCount: whole }),
+        schedule: z.object({ startAtMs: nonNegative, intervalMs: nonNegative, repeatCount: wholeNumber }),
     }),
     queue: queueSchema,
-    /** Of its organisation at the acceptance, for a successor that does not find the organisation in its configuration. */
+    /** Cap of the organisation at acceptance, used by a successor whose configuration lacks the organisation. */
     cap: resourcesSchema.optional(),
     beyondShare: flag,
     acceptedAtMs: z.number("a time"),
@@ -72,90 +75,108 @@
 const taskSchema = z.union([
     z.literal(0),
     z.literal(1),
-    z.tuple([whole, whole, text, z.array(run)]),
-    z.tuple([whole, whole, text, z.array(run), z.literal([0, 1])]),
+    z.tuple([wholeNumber, wholeNumber, text, z.array(run)]),
+    z.tuple([wholeNumber, wholeNumber, text, z.array(run), z.literal([0, 1])]),
 ], "the state of a task");
 
 const failure = z.object({
     cause: z.enum(Object.values(failureCauses) as [FailureCause, ...FailureCause[]], "a cause"),
     taskName: text,
-    count: whole,
+    count: wholeNumber,
 }).optional();
 
-/** A task under which workers have crashed; its place is that of its occurrence, its step and its index there. */
+/** Crash counts of a task. `place` holds the numbers of its occurrence and its step, and its index in the step. */
 const crashedTaskSchema = z.object({
-    place: z.tuple([whole, whole, whole], "the place of a task"),
-    crashes: whole,
-    excused: whole,
-    unconfirmed: whole.default(0),
-    possible: whole.default(0),
-    confirmedRun: whole.default(0),
+    place: z.tuple([wholeNumber, wholeNumber, wholeNumber], "the position of a task"),
+    crashes: wholeNumber,
+    excused: wholeNumber,
+    unconfirmed: wholeNumber.default(0),
+    possible: wholeNumber.default(0),
+    confirmedRun: wholeNumber.default(0),
 });
 
-/** A run whose start got no answer, and until when it may be carried out, in milliseconds since the Unix epoch. */
+/**
+ * A live run whose start order is unanswered. `untilMs` is the time until which the order may be carried out, in milliseconds since the
+ * Unix epoch.
+ */
 const unansweredSchema = z.object({
-    place: z.tuple([whole, whole, whole], "the place of a task"),
-    run: whole,
+    place: z.tuple([wholeNumber, wholeNumber, wholeNumber], "the position of a task"),
+    run: wholeNumber,
     untilMs: z.number("a time"),
-    /** An incarnation of its worker that was looked at does not have it. */
+    /** The worker incarnation that was polled last does not run it and would refuse its order. */
     absent: flag,
-    /** An incarnation that nobody looked at may have crashed by it. */
+    /** A worker incarnation that was never polled may have crashed because of it. */
     mayHaveCrashed: flag,
 });
 
-/** A run that was lost with a silent worker, which may have crashed. */
+/** A run that was lost because its worker, which may have crashed, stopped answering. */
 const lossSchema = z.object({
-    place: z.tuple([whole, whole, whole], "the place of a task"),
-    run: whole,
+    place: z.tuple([wholeNumber, wholeNumber, wholeNumber], "the position of a task"),
+    run: wholeNumber,
     workerId: text,
-    bornAtMs: whole.optional(),
+    bornAtMs: wholeNumber.optional(),
     address: text,
     alone: flag,
     confirmed: flag,
 });
 
-/** A task that failed, and the workers on which it did. */
+/** A task that failed, and the IDs of the workers on which it failed. */
 const failedTaskSchema = z.object({
-    place: z.tuple([whole, whole, whole], "the place of a task"),
+    place: z.tuple([wholeNumber, wholeNumber, wholeNumber], "the position of a task"),
     workerIds: z.array(text),
 });
 
-/** A job's state, with what each open occurrence of it has done. */
+/** Schema of a state row: the job's state and the progress of each open occurrence. */
 export const stateSchema = z.object({
     state,
-    done: z.array(whole, "numbers of occurrences"),
+    done: z.array(wholeNumber, "numbers of occurrences"),
     open: z.array(
-        z.tuple([whole, z.array(z.tuple([whole, whole, z.array(taskSchema)]))], "an occurrence and its steps"),
+        z.tuple(
+            [wholeNumber, z.array(z.tuple([wholeNumber, wholeNumber, z.array(taskSchema)]))],
+            "an occurrence and its steps",
+        ),
         "open occurrences",
     ),
     failure,
     crashed: z.array(crashedTaskSchema, "tasks under which workers crashed").default([]),
     lost: z.array(lossSchema, "runs that were lost").default([]),
     failed: z.array(failedTaskSchema, "tasks that failed").default([]),
-    /** Where the workers of its live runs are reached, by id. */
+    /** Addresses of the workers of its live runs, by worker ID. */
     addresses: z.record(z.string(), text, "addresses of workers").default({}),
-    /** When the incarnations of these workers began that the runs were planned for, by id; none where incarnations are told by their ids. */
-    lives: z.record(z.string(), whole, "beginnings of incarnations").default({}),
-    /** When it was written, in milliseconds since the Unix epoch: what is not said to be unanswered may have been sent right after. */
+    /**
+     * When the worker incarnations began that its live runs were planned for, by worker ID; empty if each incarnation has an ID of its
+     * own.
+     */
+    lives: z.record(z.string(), wholeNumber, "start times of incarnations").default({}),
+    /**
+     * When the row was written, in milliseconds since the Unix epoch. Runs that are not listed as unanswered may have been ordered right
+     * after it.
+     */
     writtenAtMs: z.number("a time").default(0),
-    /** Live runs whose start got no answer. */
+    /** Live runs whose start order is unanswered. */
     unanswered: z.array(unansweredSchema, "starts without an answer").default([]),
 });
 
-/** The state of a job that has ended. */
+/** Schema of the row of a job that has ended. */
 export const endedSchema = z.object({ state, failure, organisation: text.default("") });
 
-/** What a job was submitted with, as it is stored. */
+/** A decoded submission row. */
 export type StoredSubmission = z.infer<typeof submissionSchema>;
-/** 1: done; 0: untouched; else highest run, failures, checkpoint, runs as worker and number, and 1 where it is done. */
+/**
+ * State of a task: 1 if it is done and has no live runs, 0 if it was never started; otherwise its highest run number, failures,
+ * checkpoint, live runs as worker ID and run number, and a trailing 1 if it is done.
+ */
 export type StoredTask = z.infer<typeof taskSchema>;
-/** A task under which workers have crashed, as it is stored. */
+/** Stored crash counts of a task. */
 export type StoredCrashedTask = z.infer<typeof crashedTaskSchema>;
-/** A run whose start got no answer, as it is stored. */
+/** A stored run whose start order is unanswered. */
 export type StoredUnanswered = z.infer<typeof unansweredSchema>;
-/** A run that was lost, as it is stored. */
+/** A stored run that was lost with its worker. */
 export type StoredLoss = z.infer<typeof lossSchema>;
-/** A task that failed, as it is stored. */
+/** A stored task that failed on some workers. */
 export type StoredFailedTask = z.infer<typeof failedTaskSchema>;
-/** A job's state as it is stored: number of each open occurrence, then for each step its gang's failures, newest failed run and its tasks. */
+/**
+ * A decoded state row. Each entry of `open` holds an occurrence's number and, for each step, the gang's failures, the newest failed run
+ * of the gang and its tasks.
+ */
 export type StoredState = z.infer<typeof stateSchema>;
--- a/packages/puffinarch/src/core/shard/jobRows.ts
+++ b/packages/puffinarch/src/core/shard/jobRows.ts
@@ -1,4 +1,7 @@
-/** Rows that keep a job: one for its submission, written once, and a small one for its state, written at each change. */
+/**
+ * Stores each job in two rows: its submission, written once, and its small state, written at each change. A job that has ended is reduced
+ * to one row.
+ */
 
 import { type Row } from "../../types/cellPorts.js";
 import type { Clock } from "../../types/ports.js";
@@ -33,40 +36,40 @@
 import { endedTable, journalTable } from "./shardTables.js";
 import { runKey } from "./workerTable.js";
 
-/** Key prefix of the rows with submissions. */
+/** Key prefix of submission rows. */
 const submissionPrefix = "job/";
-/** Key prefix of the rows with states. */
+/** Key prefix of state rows. */
 const statePrefix = "state/";
 
-/** A job that has ended, as its row keeps it. */
+/** What is stored of a job that has ended. */
 export interface EndedJob extends JobStatus {
-    /** Empty where its caller belonged to none. */
+    /** Organisation of its caller; empty for a caller without one. */
     readonly organisation: string;
 }
 
-/** A run as its intent was made durable: worker and number. */
+/** A run that a state row lists: its start was intended, and may have been ordered. */
 export interface StoredRun {
     readonly taskName: string;
     readonly run: number;
     readonly workerId: string;
-    /** When the worker's incarnation began; undefined where the row does not say. */
+    /** When the worker incarnation began that it was planned for; undefined if the row does not state it. */
     readonly bornAtMs: number | undefined;
-    /** Where the worker is reached; empty where the row does not say. */
+    /** Address of the worker; empty if the row does not state it. */
     readonly address: string;
-    /** Local time until which its start may be carried out, which got no answer; undefined where that is not known. */
+    /** Local time until which its unanswered start order may still be carried out; undefined if the row does not state it. */
     readonly mayArriveUntilMs: number | undefined;
-    /** An incarnation of its worker that was looked at does not have it. */
+    /** The worker incarnation that was polled last does not run it and would refuse its order. */
     readonly absent: boolean;
-    /** An incarnation that nobody looked at may have crashed by it. */
+    /** A worker incarnation that was never polled may have crashed because of it. */
     readonly mayHaveCrashed: boolean;
-    /** Local time at which it was made durable, or a later change of its job. */
+    /** Local time at which the state row was written. */
     readonly storedAtMs: number;
 }
 
-/** A run that was lost with a silent worker under a former owner. */
+/** A run that was lost under a former owner because its worker stopped answering; whether the worker crashed is not known. */
 export interface RestoredLoss {
     readonly workerId: string;
-    /** Where the worker was reached. */
+    /** Address of the worker. */
     readonly address: string;
     readonly crashed: CrashedRun;
 }
@@ -90,27 +93,27 @@
     step.tasks.map(encodeTask),
 ];
 
-type Place = StoredCrashedTask["place"];
+type TaskPosition = StoredCrashedTask["place"];
 
-const placeOf = ({ step, index }: ShardTask): Place => [step.occurrence.number, step.number, index];
+const positionOf = ({ step, index }: ShardTask): TaskPosition => [step.occurrence.number, step.number, index];
 
-const taskAt = (job: ShardJob, [occurrence, step, index]: Place): ShardTask | undefined =>
+const taskAt = (job: ShardJob, [occurrence, step, index]: TaskPosition): ShardTask | undefined =>
     job.occurrences.get(occurrence)?.steps[step]?.tasks[index];
 
-/** A successor keeps a task off the workers that failed it, too: it would else spend the last attempt on one of them. */
+/** Workers on which tasks failed. Without them, a successor could spend a task's last attempt on a worker that has failed it before. */
 const encodeFailed = (job: ShardJob): StoredFailedTask[] => {
     const failed: StoredFailedTask[] = [];
     for (const step of stepsOf(job)) {
         for (const task of step.tasks) {
             if (task.failedOn.size > 0 && !task.done) {
-                failed.push({ place: placeOf(task), workerIds: [...task.failedOn.keys()] });
+                failed.push({ place: positionOf(task), workerIds: [...task.failedOn.keys()] });
             }
         }
     }
     return failed;
 };
 
-/** Crashes are written with the next intent of a start at the latest, so that a successor counts on from them. */
+/** Crash counts of tasks. They are durable no later than the next intent to start the task, so that a successor continues from them. */
 const encodeCrashed = (job: ShardJob): StoredCrashedTask[] => {
     const crashed: StoredCrashedTask[] = [];
     for (const step of stepsOf(job)) {
@@ -118,21 +121,21 @@
             const { crashes, crashesExcused: excused, crashesUnconfirmed: unconfirmed, confirmedRun, done } = task;
             const { possibleCrashes: possible } = task;
             if (crashes + excused + possible + confirmedRun > 0 && !done) {
-                crashed.push({ place: placeOf(task), crashes, excused, unconfirmed, possible, confirmedRun });
+                crashed.push({ place: positionOf(task), crashes, excused, unconfirmed, possible, confirmedRun });
             }
         }
     }
     return crashed;
 };
 
-/** What was lost with a silent worker may have crashed it, which may be known under a successor only. */
+/** Runs that were lost with workers that stopped answering. Whether they crashed their workers may become known only under a successor. */
 const encodeLosses = (job: ShardJob): StoredLoss[] => {
     const lost: StoredLoss[] = [];
     for (const { tasks } of stepsOf(job)) {
         for (const task of tasks) {
             for (const loss of task.done ? [] : task.unresolvedLosses) {
                 const { run, workerId, bornAtMs, address, alone, confirmed } = loss;
-                lost.push({ place: placeOf(task), run, workerId, bornAtMs, address, alone, confirmed });
+                lost.push({ place: positionOf(task), run, workerId, bornAtMs, address, alone, confirmed });
             }
         }
     }
@@ -140,13 +143,16 @@
 };
 
 /**
- * With the address a successor knows at once that a worker of which the list has another incarnation crashed; it would else wait
- * for 7.6 s of leases, and count nothing.
+ * Addresses of the workers of live runs, by worker ID. If the worker list shows another incarnation at an address, a successor detects
+ * the crash at once; otherwise it would wait 7.6 s for the leases to expire and count no crash.
  */
 const encodeAddresses = (job: ShardJob): Readonly<Record<string, string>> =>
     Object.fromEntries([...runsOf(job)].map(({ workerId, address }) => [workerId, address]));
 
-/** A successor knows by them which runs were for an incarnation that is over by now, and that its worker crashed under them. */
+/**
+ * When the worker incarnations of live runs began, by worker ID. They let a successor detect that an incarnation is over and crashed
+ * under its runs.
+ */
 const encodeIncarnations = (job: ShardJob): Readonly<Record<string, number>> => {
     const incarnations: Record<string, number> = {};
     for (const { workerId, bornAtMs } of runsOf(job)) {
@@ -157,13 +163,16 @@
     return incarnations;
 };
 
-/** A successor would else start a task elsewhere as soon as a look does not list its run. */
+/**
+ * Live runs whose start order is unanswered. Without them, a successor would start the task elsewhere as soon as a poll does not list the
+ * run, although the order may still be carried out.
+ */
 const encodeUnanswered = (job: ShardJob, clock: Clock): readonly StoredUnanswered[] => {
     const unanswered: StoredUnanswered[] = [];
     for (const { task, run, mayArriveUntilMs, absent, mayHaveCrashed } of runsOf(job)) {
         if (mayArriveUntilMs !== undefined) {
             const untilMs = clock.nowMs() + mayArriveUntilMs - clock.monotonicMs();
-            unanswered.push({ place: placeOf(task), run, untilMs, absent, mayHaveCrashed });
+            unanswered.push({ place: positionOf(task), run, untilMs, absent, mayHaveCrashed });
         }
     }
     return unanswered;
@@ -186,14 +195,14 @@
     return JSON.stringify(stored);
 };
 
-const endedOf = ({ state, failure, account }: ShardJob): EndedJob => ({
+const toEndedJob = ({ state, failure, account }: ShardJob): EndedJob => ({
     state,
     failure,
     organisation: account.organisation,
 });
 
 /**
- * Gives the rows that keep a job as it is now: two while it goes on or holds room, a small one after that.
+ * Encodes a job as rows: submission and state while the job goes on or a run of it reserves capacity, and one small row after that.
  *
  * @example
  * const { puts, removes } = encodeJob(job, clock);
@@ -203,7 +212,7 @@
     const submission = { table: journalTable, key: submissionPrefix + jobId };
     const state = { table: journalTable, key: statePrefix + jobId };
     if (letGo(job) && hasEnded(job)) {
-        const ended = { table: endedTable, key: jobId, value: JSON.stringify(endedOf(job)) };
+        const ended = { table: endedTable, key: jobId, value: JSON.stringify(toEndedJob(job)) };
         return { puts: [ended], removes: job.stored ? [submission, state] : [] };
     }
     return {
@@ -216,14 +225,14 @@
 };
 
 /**
- * Reads the state of a job that has ended.
+ * Decodes the row of a job that has ended.
  *
  * @example
  * decodeEnded({ value: '{"state":"completed"}' }); // { kind: "entry", entry: { state: "completed", organisation: "" } }
  */
 export const decodeEnded = (row: Pick<Row, "value">): Decoded<EndedJob> => decodeRow(row, endedSchema);
 
-/** Writes what a job was submitted with. */
+/** Encodes the submission row of a job. */
 const encodeSubmission = ({ submission, queue, account, beyondShare, acceptedAtMs, order }: ShardJob): string => {
     const stored = { submission, queue, cap: account.cap, beyondShare, acceptedAtMs, order };
     return JSON.stringify(stored);
@@ -278,7 +287,7 @@
 const restoreLosses = (job: ShardJob, stored: readonly StoredLoss[]): readonly RestoredLoss[] =>
     stored.flatMap(({ place, run, workerId, bornAtMs, address, alone, confirmed }) => {
         const task = taskAt(job, place);
-        // Which workers fell silent at that moment is not known any more.
+        // Which other workers stopped answering at that moment is no longer known, so that no crash matches it.
         const goneAtMs = -Infinity;
         return task === undefined
             ? []
@@ -318,7 +327,7 @@
     const unanswered = new Map(
         stored.unanswered.map(each => [runKey(taskAt(job, each.place)?.name ?? "", each.run), each]),
     );
-    const localMs = (epochMs: number): number => nowMs + epochMs - clock.nowMs();
+    const toMonotonicMs = (epochMs: number): number => nowMs + epochMs - clock.nowMs();
     return {
         runs: runs.map(run => {
             const start = unanswered.get(runKey(run.taskName, run.run));
@@ -328,15 +337,15 @@
                 bornAtMs: stored.lives[run.workerId],
                 absent: start?.absent ?? false,
                 mayHaveCrashed: start?.mayHaveCrashed ?? false,
-                mayArriveUntilMs: start && localMs(start.untilMs),
-                storedAtMs: localMs(stored.writtenAtMs),
+                mayArriveUntilMs: start && toMonotonicMs(start.untilMs),
+                storedAtMs: toMonotonicMs(stored.writtenAtMs),
             };
         }),
         losses: restoreLosses(job, stored.lost),
     };
 };
 
-/** Jobs as the store has them, with the runs that were meant to be started and those that were lost. */
+/** Jobs as they were stored, with the runs that were to be started and those that were lost. */
 export interface RestoredJobs {
     readonly jobs: readonly ShardJob[];
     readonly runs: readonly StoredRun[];
@@ -344,8 +353,8 @@
 }
 
 /**
- * Reads jobs back from all rows of a shard's part. A job of which a row cannot be read is left out, with its rows as they
- * are: to run it anew might run it twice.
+ * Restores jobs from all rows of a shard's partition. If a row of a job cannot be read, the job is left out and its rows stay unchanged,
+ * as starting it over could run it twice.
  *
  * @example
  * const { jobs, runs } = restoreJobs(rows, { reader: createRowReader({ log, meter }), accounts, clock });
