--- a/packages/puffinarch/src/core/shard/acceptance.ts
+++ b/packages/puffinarch/src/core/shard/acceptance.ts
@@ -1,4 +1,7 @@
-/** Accepting jobs: durable before the answer, the same id again is the same job, and a refusal is certain. */
+/**
+ * Accepts jobs: a job is durable before its caller is answered, resubmitting the same ID is idempotent, and a refused job is certain not
+ * to run.
+ */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
 import { scale } from "../../types/resources.js";
@@ -11,47 +14,50 @@
 import type { EndedJob } from "./jobRows.js";
 import type { ShardSettings } from "./shardSettings.js";
 
-/** What acceptance needs. */
+/** Dependencies of the acceptance of jobs. */
 export interface AcceptanceOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
     readonly settings: ShardSettings;
-    /** Jobs of the shard, to which accepted ones are added. */
+    /** Jobs of the shard by ID; accepted ones are added. */
     readonly jobs: Map<string, ShardJob>;
     readonly queueOf: (queueKey: string) => Queue | undefined;
     readonly accounts: Pick<Accounts, "of">;
-    /** Place of the next job in the order of acceptance. */
+    /** Position of the next job in the order of acceptance. */
     readonly nextOrder: number;
     readonly commits: CommitLog;
-    /** Resolves once the job as it is now is durable. */
+    /** Resolves once the job's present state is durable. */
     readonly commit: (job: ShardJob) => Promise<void>;
-    /** Asks for advice and plans starts for the job. */
+    /** Requests advice and plans starts for the job. */
     readonly consider: (job: ShardJob) => void;
-    /** Lets go of the starts that were planned for the job. */
+    /** Drops the starts that were planned for the job. */
     readonly takeBack: (job: ShardJob) => void;
-    /** Jobs that ended under earlier owners. */
+    /** Jobs that ended under former owners, by ID. */
     readonly endedKnown: Promise<ReadonlyMap<string, EndedJob>>;
-    /** Rejects once this daemon owns the shard no more. */
+    /** Rejects once this daemon no longer owns the shard. */
     readonly endOfOffice: Promise<never>;
 }
 
-/** The same ID is the same job only for callers of one organisation: the answer to another one's must tell nothing of it. */
-const refuseOther = ({ jobId, organisation = "" }: JobSubmission, owner: string): void => {
+/**
+ * Resubmitting an ID is idempotent only for callers of the organisation that owns the job. The refusal of other callers must disclose
+ * nothing about the job.
+ */
+const requireSameOrganisation = ({ jobId, organisation = "" }: JobSubmission, owner: string): void => {
     if (owner !== "" && organisation !== owner) {
-        die("alreadyExists", `the id ${jobId} is taken`);
+        die("alreadyExists", `the job ID ${jobId} is already in use`);
     }
 };
 
-/** A task, or a gang, that the organisation's cap never holds would wait for ever. */
-const refuseAboveCap = ({ steps }: JobSubmission, { organisation, cap }: Account): void => {
+/** Refuses jobs with a task or gang that exceeds the organisation's cap by itself, since it would wait forever. */
+const requireWithinCap = ({ steps }: JobSubmission, { organisation, cap }: Account): void => {
     for (const [index, step] of steps.entries()) {
         const atOnce = step.gang ? scale(heldBy(step), step.count) : heldBy(step);
         const amount = amountAboveCap(cap, atOnce);
         if (amount !== undefined) {
             die(
                 "overQuota",
-                `steps[${index}] needs ${atOnce[amount]} ${amount} at once; the cap of ${organisation} is ${
+                `steps[${index}] needs ${atOnce[amount]} ${amount} at once, but the cap of ${organisation} is ${
                     cap[amount]
                 }`,
             );
@@ -59,14 +65,14 @@
     }
 };
 
-/** How often a job that waits for its acceptance looks whether the store stalls. */
-const checkMs = 100;
+/** Interval at which a pending acceptance checks whether the store has stopped answering. */
+const stallCheckIntervalMs = 100;
 
 /**
- * Makes the function that accepts jobs; it resolves once the job is durable.
+ * Creates the function that accepts jobs; it resolves once the job is durable.
  *
  * @example
- * const submit = createAcceptance({ clock, log, meter, settings, jobs, queueOf, accounts, nextOrder, commits, commit, consider, takeBack, endedKnown, endOfOffice });
+ * const submit = createAcceptance({ clock, log, meter, settings, jobs, queueOf, accounts, nextOrder, commits, commit, consider, dropPlannedStarts, endedJobs, ownershipLost });
  * await submit(submission);
  */
 export const createAcceptance = (options: AcceptanceOptions): (submission: JobSubmission) => Promise<void> => {
@@ -74,47 +80,47 @@
         options;
     let { nextOrder } = options;
 
-    const refuse = (): never =>
+    const rejectSubmission = (): never =>
         die("notAccepted", "the store does not answer", { retryAfterMs: settings.retryAfterMs });
 
-    /** Forgets a job that no batch has held. */
-    const forget = (job: ShardJob): void => {
+    /** Removes a job that was part of no commit batch. */
+    const discard = (job: ShardJob): void => {
         jobs.delete(job.submission.jobId);
         options.takeBack(job);
         if (!job.beyondShare) {
             returnShare(job.account);
         }
-        // Nobody wants its advice any more.
+        // Ends its pending advice requests.
         cancelJob(job, clock.monotonicMs());
     };
 
     /**
-     * Waits for a job's acceptance. Where the store stalls and no batch has held the job yet, it is taken back: the
-     * refusal is certain, and the caller hears it at once. A job that another submission of the same id has made durable is
-     * accepted, whatever becomes of the batch that this one waits for: taken back, it was answered as unknown and ran twice.
+     * Waits until a job is durable. If the store stops answering while no commit batch contains the job, the job is withdrawn: the
+     * refusal is certain and the caller gets it at once. A job that another submission of the same ID has made durable counts as
+     * accepted, whatever the outcome of the batch awaited here: if it were withdrawn, it would be reported as unknown and run twice.
      */
-    const settle = async (job: ShardJob): Promise<void> => {
+    const awaitAcceptance = async (job: ShardJob): Promise<void> => {
         const { jobId } = job.submission;
         const written = commit(job);
         while (!job.stored) {
-            await Promise.race([written, endOfOffice, sleep(clock, checkMs)]);
+            await Promise.race([written, endOfOffice, sleep(clock, stallCheckIntervalMs)]);
             if (!job.stored && commits.stalledMs() > settings.refuseStalledMs && commits.withdraw(jobId)) {
-                forget(job);
+                discard(job);
             }
             if (!job.stored && jobs.get(jobId) !== job) {
-                refuse();
+                rejectSubmission();
             }
         }
     };
 
-    const enter = (submission: JobSubmission): ShardJob => {
+    const register = (submission: JobSubmission): ShardJob => {
         const queue = queueOf(submission.queueKey)
             ?? die("unavailable", `the queue ${submission.queueKey} is not in this daemon's configuration`);
         if (commits.stalledMs() > settings.refuseStalledMs) {
-            refuse();
+            rejectSubmission();
         }
         const account = accounts.of(submission.organisation ?? "");
-        refuseAboveCap(submission, account);
+        requireWithinCap(submission, account);
         const acceptedAtMs = clock.nowMs();
         const beyondShare = !takeShare(account, acceptedAtMs);
         const job = newJob(submission, queue, { acceptedAtMs, order: nextOrder, account, beyondShare });
@@ -126,23 +132,23 @@
     const submit = async (submission: JobSubmission): Promise<void> => {
         const known = jobs.get(submission.jobId);
         if (known !== undefined) {
-            refuseOther(submission, known.account.organisation);
+            requireSameOrganisation(submission, known.account.organisation);
             if (!known.stored) {
-                await settle(known);
+                await awaitAcceptance(known);
             }
             return;
         }
         const ended = (await endedKnown).get(submission.jobId);
         if (ended !== undefined || jobs.has(submission.jobId)) {
-            refuseOther(submission, ended?.organisation ?? "");
-            // It ended before, or the same id came through another daemon meanwhile.
+            requireSameOrganisation(submission, ended?.organisation ?? "");
+            // The job ended under a former owner, or another request with the same ID was accepted meanwhile.
             await (jobs.has(submission.jobId) ? submit(submission) : undefined);
             return;
         }
-        const job = enter(submission);
-        // Advice is asked for, and starts are planned, while the acceptance is written; they share its batch or a later one.
+        const job = register(submission);
+        // Requests advice and plans starts while the acceptance is being written, so that they share its commit batch or a later one.
         consider(job);
-        await settle(job);
+        await awaitAcceptance(job);
         meter.count("jobsAccepted");
         log.write("info", "jobAccepted", {
             jobId: submission.jobId,
--- a/packages/puffinarch/src/core/shard/forward.ts
+++ b/packages/puffinarch/src/core/shard/forward.ts
@@ -1,88 +1,93 @@
-/** Passes callers' requests on to the shard's owner, wherever it is, until it answers or the caller's time is over. */
+/**
+ * Forwards callers' requests to the shard's owner, in this daemon or another one, and retries until the owner answers or the request
+ * times out.
+ */
 
 import type { Clock } from "../../types/ports.js";
 import { die, errorOf, failureOf } from "../../utils/errors.js";
 import type { ShardOwner } from "./shardOwner.js";
 
-/** What passing on needs. */
+/** Dependencies of request forwarding. */
 export interface ForwardOptions {
     readonly clock: Clock;
-    /** What a refused caller is told to wait. */
+    /** Time after which a refused caller is told to retry. */
     readonly retryAfterMs: number;
-    /** The shard, where this daemon owns it. */
+    /** The shard, if this daemon owns it. */
     readonly shard: () => ShardOwner | undefined;
-    /** Where the owner is, where it is another daemon. */
+    /** Address of the owner, if it is another daemon and known. */
     readonly ownerAddress: () => string | undefined;
-    /** How long ago an owner was last known to be well. */
+    /** Time since an owner was last known to be healthy. */
     readonly ownerLostMs: () => number;
-    /** A try at the owner found no answer. */
+    /** Called when an attempt failed without a definite answer from the owner. */
     readonly onNoAnswer: () => void;
 }
 
-/** One request: what to do with it here, and at another daemon. */
+/** One request: how to run it on the local owner and how to send it to another daemon. `totalTimeoutMs` limits all attempts together. */
 export interface ForwardRequest<T> {
     readonly local: (shard: ShardOwner) => Promise<T>;
     readonly remote: (address: string, timeoutMs: number) => Promise<T>;
     readonly patienceMs: number;
 }
 
-/** Passes requests on. */
+/** Forwards requests. */
 export interface Forward {
-    /** Fails with `notAccepted` where the request surely had no effect, and with `mayHaveRun` where that is not known. */
+    /** Fails with `notAccepted` if the request certainly had no effect, and with `mayHaveRun` if that is unknown. */
     run<T>(request: ForwardRequest<T>): Promise<T>;
-    /** The owner changed; requests that wait try again at once. */
+    /** Must be called when the owner changes; waiting requests are retried at once. */
     wake(): void;
 }
 
-/** How long after an owner was lost a request waits for the next one before it is refused with a time to come back. */
-const ownerPatienceMs = 1_500;
-/** Pause between tries where no owner answers. */
-const pauseMs = 50;
-/** A try takes some 15 ms, a commit included; below this it could not be settled in time. */
-const shortestTryMs = 40;
-/** One try at the owner; a commit takes some 10 ms, and a resend of the same id is harmless. */
-const tryTimeoutMs = 900;
+/** A request waits for a new owner for up to this long after the last one was lost; then it is refused with a retry time. */
+const ownerLossGraceMs = 1_500;
+/** Pause between attempts that reached no owner. */
+const retryPauseMs = 50;
+/** An attempt takes about 15 ms including a commit; with less time than this left, its outcome could come too late for the caller. */
+const minAttemptMs = 40;
+/** Timeout of one attempt. A commit takes about 10 ms, and sending the same ID again is idempotent. */
+const attemptTimeoutMs = 900;
 
 /**
- * Makes the passing on of requests.
+ * Creates the forwarding of requests.
  *
  * @example
- * const forward = createForward({ clock, retryAfterMs: 1_000, shard, ownerAddress, ownerLostMs, onNoAnswer });
- * await forward.run({ local: shard => shard.submit(job), remote: (address, timeoutMs) => send(address, timeoutMs), patienceMs: 2_000 });
+ * const forwarder = createForwarder({ clock, retryAfterMs: 1_000, shard, ownerAddress, ownerLostMs, onNoAnswer });
+ * await forwarder.run({ local: shard => shard.submit(job), remote: (address, timeoutMs) => send(address, timeoutMs), totalTimeoutMs: 2_000 });
  */
 export const createForward = (options: ForwardOptions): Forward => {
     const { clock, retryAfterMs, shard, ownerAddress, ownerLostMs, onNoAnswer } = options;
-    const waiting = new Set<() => void>();
+    const ownerChangeListeners = new Set<() => void>();
 
-    const ownerChange = (waitMs: number): Promise<void> =>
+    const waitForOwnerChange = (waitMs: number): Promise<void> =>
         new Promise(resolve => {
             const end = (): void => {
                 cancel();
-                waiting.delete(end);
+                ownerChangeListeners.delete(end);
                 resolve();
             };
             const cancel = clock.setTimer(waitMs, end);
-            waiting.add(end);
+            ownerChangeListeners.add(end);
         });
 
-    /** Rejects with `mayHaveRun` once the owner is another one; a lost owner would else hold the request for its whole time. */
-    const ownerMove = (address: string): { readonly happened: Promise<never>; readonly end: () => void; } => {
+    /** Rejects with `mayHaveRun` once the shard has another owner. Otherwise a lost owner would block the request until it times out. */
+    const watchOwnerChange = (address: string): { readonly changed: Promise<never>; readonly end: () => void; } => {
         let end = (): void => {};
-        const happened = new Promise<never>((_resolve, reject) => {
+        const changed = new Promise<never>((_resolve, reject) => {
             const check = (): void => {
                 if (shard() !== undefined || ownerAddress() !== address) {
-                    reject(errorOf({ kind: "mayHaveRun", message: "the shard has another owner by now" }));
+                    reject(
+                        errorOf({ kind: "mayHaveRun", message: "the owner of the shard changed during the request" }),
+                    );
                 }
             };
-            waiting.add(check);
+            ownerChangeListeners.add(check);
             end = () => {
-                waiting.delete(check);
+                ownerChangeListeners.delete(check);
             };
         });
-        return { happened, end };
+        return { changed, end };
     };
 
-    const tryOnce = async <T>(
+    const attempt = async <T>(
         { local, remote }: ForwardRequest<T>,
         leftMs: number,
     ): Promise<{ readonly value: T; } | undefined> => {
@@ -94,14 +99,14 @@
         if (address === undefined) {
             return undefined;
         }
-        const answer = remote(address, Math.max(1, Math.min(tryTimeoutMs, leftMs))).then(value => ({ value }));
-        const moved = ownerMove(address);
+        const answer = remote(address, Math.max(1, Math.min(attemptTimeoutMs, leftMs))).then(value => ({ value }));
+        const ownerWatch = watchOwnerChange(address);
         try {
-            return await Promise.race([answer, moved.happened]);
+            return await Promise.race([answer, ownerWatch.changed]);
         }
         finally {
-            moved.end();
-            // Where the owner changed, what its predecessor says adds nothing: the request goes to the new one.
+            ownerWatch.end();
+            // If the owner changed, a late rejection from the former owner is ignored; the request is sent to the new owner.
             answer.catch(() => {});
         }
     };
@@ -110,39 +115,39 @@
         run: async request => {
             const startedAtMs = clock.monotonicMs();
             const { patienceMs } = request;
-            let unknown = false;
+            let mayHaveRun = false;
             for (;;) {
                 const leftMs = startedAtMs + patienceMs - clock.monotonicMs();
-                if (!unknown && leftMs < shortestTryMs) {
-                    // Sent now, it would be settled after its caller has gone; not sent, the refusal is certain.
-                    return die("notAccepted", "too little time is left", { retryAfterMs });
+                if (!mayHaveRun && leftMs < minAttemptMs) {
+                    // The outcome would come after the caller has given up. Without another attempt, the request certainly had no effect.
+                    return die("notAccepted", "too little time is left to complete the request", { retryAfterMs });
                 }
                 try {
-                    const answer = await tryOnce(request, leftMs);
+                    const answer = await attempt(request, leftMs);
                     if (answer !== undefined) {
                         return answer.value;
                     }
                 }
                 catch (error) {
                     const { kind } = failureOf(error);
-                    unknown ||= kind === "mayHaveRun";
-                    if (!unknown && kind !== "unavailable") {
+                    mayHaveRun ||= kind === "mayHaveRun";
+                    if (!mayHaveRun && kind !== "unavailable") {
                         throw error;
                     }
                     onNoAnswer();
                 }
-                // An owner that was lost a while ago is not expected back at once, and other daemons may reach one.
-                const allowedMs = unknown ? patienceMs : Math.min(patienceMs, ownerPatienceMs - ownerLostMs());
-                if (clock.monotonicMs() - startedAtMs + pauseMs >= allowedMs) {
-                    return unknown
-                        ? die("mayHaveRun", "the owner of the shard gave no answer")
+                // An owner that was lost some time ago is not expected back soon, and other daemons may be able to reach one.
+                const allowedMs = mayHaveRun ? patienceMs : Math.min(patienceMs, ownerLossGraceMs - ownerLostMs());
+                if (clock.monotonicMs() - startedAtMs + retryPauseMs >= allowedMs) {
+                    return mayHaveRun
+                        ? die("mayHaveRun", "the owner of the shard did not answer")
                         : die("notAccepted", "no owner of the shard can be reached", { retryAfterMs });
                 }
-                await ownerChange(pauseMs);
+                await waitForOwnerChange(retryPauseMs);
             }
         },
         wake: () => {
-            for (const notify of [...waiting]) {
+            for (const notify of [...ownerChangeListeners]) {
                 notify();
             }
         },
