--- a/packages/puffinarch/src/core/shard/batchWriter.ts
+++ b/packages/puffinarch/src/core/shard/batchWriter.ts
@@ -1,7 +1,7 @@
 /**
- * Writes one batch of a commit log until its outcome is certain. A copy that finds no answer in time is followed by another,
- * while the first may still be answered: a lost answer then costs little, and a slow store is not asked anew each time.
- * Every copy has the same conditions, so that one of them takes effect at most.
+ * Writes one batch of a commit log until its outcome is certain. If a call is not answered in time, a duplicate ("copy") is sent while
+ * the first call may still be answered, so that a lost answer costs little time; the wait before the next copy grows with the latency of
+ * the store. All copies have the same conditions, so at most one of them takes effect.
  */
 
 import type { Row, RowStore, RowTransaction } from "../../types/cellPorts.js";
@@ -9,67 +9,76 @@
 import { sleep } from "../../utils/time.js";
 import { ownerTable } from "./shardTables.js";
 
-/** What the writer needs. */
+/** Dependencies of the writer. */
 export interface BatchWriterOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
     readonly store: RowStore;
     readonly part: string;
-    /** Version of the owner's row. */
+    /** Version of the owner's row under this owner's claim. */
     readonly ownerVersion: number;
-    /** How long the store took to answer last. */
+    /** Latency of the store's last answer before the writer was created. */
     readonly storeMs: number;
-    /** The store has answered at this local time. */
+    /** Called with the local time of each definite answer from the store. */
     readonly onAnswer: (atMs: number) => void;
     readonly isStopped: () => boolean;
 }
 
-/** A batch; the last row that it puts is its sequence row, whose value no other batch has. */
+/** A batch to write. The last row that it puts is its sequence row, whose value is unique to the batch. */
 export interface Batch {
     readonly batchId: string;
     readonly transaction: RowTransaction;
 }
 
-/** Writes batches. */
+/** Writes the batches of one shard. */
 export interface BatchWriter {
-    /** Version of the sequence row at which the batch took effect; undefined where the shard is another's, or after a stop. */
+    /**
+     * Resolves to the version of the sequence row at which the batch took effect; undefined if another daemon owns the shard, or after a
+     * stop.
+     */
     write(batch: Batch): Promise<number | undefined>;
 }
 
-/** Pause after a refusal, doubled up to the longest one; refused calls are priced. */
+/** Pause after a refused call, doubled up to `longestPauseMs`; the platform charges for refused calls. */
 const firstPauseMs = 25;
 const longestPauseMs = 200;
-/** A commit takes some 8 ms; without an answer by the first another copy is sent, the next after twice the time. */
+/**
+ * Wait for an answer before another copy is sent: `waitFactor` times the typical latency of the store within these bounds, and doubled
+ * for each further copy. A commit takes about 8 ms.
+ */
 const shortestWaitMs = 80;
 const longestWaitMs = 1_500;
 const waitFactor = 4;
-/** How long one copy may be answered. */
+/** Timeout of the call that sends one copy. */
 const copyTimeoutMs = 1_500;
-/** Copies without an answer after which the store is taken to be away, and is asked whether it is back. */
-const copiesToProbe = 3;
-/** Between two such questions; a copy that was sent into an outage is not answered after it, and the next is 1.5 s off. */
-const probeMs = 200;
-/** No answer comes in what is left of a wait by then; a pause of a fraction of that may end at the moment at which it began. */
-const shortestProbeMs = 1;
-/** A store that answers questions and no copies is not asked again for this long. */
-const probePauseMs = 1_000;
-/** Weight of the newest answer in the usual time, where no copy was sent before it came. */
-const usualShare = 0.2;
+/** Number of copies after which a store that has not answered counts as down and is probed with reads. */
+const minCopiesBeforeProbe = 3;
+/** Interval between probes. A copy that was sent during an outage is never answered, and the next one may be 1.5 s away. */
+const probeIntervalMs = 200;
+/**
+ * Shortest remaining wait in which a probe is sent. No answer arrives in less, and a pause of a fraction of a millisecond may end at the
+ * same clock reading at which it began.
+ */
+const minProbeWaitMs = 1;
+/** After a probe was answered, none is sent for this long, since the store may answer reads but not commits. */
+const probeCooldownMs = 1_000;
+/** Weight of the newest answer in the moving average of the store's latency, for batches that needed one copy only. */
+const newestAnswerWeight = 0.2;
 
 /**
- * Makes the writer of a shard's batches.
+ * Creates the writer of a shard's batches.
  *
  * @example
- * const writer = createBatchWriter({ clock, log, meter, store, part, ownerVersion, storeMs, onAnswer, isStopped });
+ * const writer = createBatchWriter({ clock, log, meter, store, part, ownerVersion, storeLatencyMs, onAnswer, isStopped });
  * const version = await writer.write({ batchId: "entry-1/0", transaction });
  */
 export const createBatchWriter = (options: BatchWriterOptions): BatchWriter => {
     const { clock, log, meter, store, part, ownerVersion, onAnswer, isStopped } = options;
-    let usualMs = options.storeMs;
+    let typicalAnswerMs = options.storeMs;
 
-    /** After a conflict: the version at which an earlier copy took effect; undefined where the shard is another's. */
-    const settledVersion = (rows: readonly Row[], { transaction }: Batch): number | undefined => {
+    /** After a conflict: the version at which an earlier copy took effect; undefined if another daemon owns the shard. */
+    const committedVersion = (rows: readonly Row[], { transaction }: Batch): number | undefined => {
         const owner = rows.find(row => row.table === ownerTable);
         const marker = transaction.puts.at(-1);
         const sequence = rows.find(row => row.table === marker?.table && row.key === marker.key);
@@ -77,89 +86,95 @@
     };
 
     const write = async (batch: Batch): Promise<number | undefined> => {
-        let settled: { readonly version: number | undefined; } | undefined;
-        let announce: () => void = () => {};
-        const settlement = new Promise<void>(resolve => {
-            announce = resolve;
+        let finalResult: { readonly version: number | undefined; } | undefined;
+        let resolveFinished: () => void = () => {};
+        const finished = new Promise<void>(resolve => {
+            resolveFinished = resolve;
         });
-        const settle = (version: number | undefined): void => {
-            settled = { version };
-            announce();
+        const finish = (version: number | undefined): void => {
+            finalResult = { version };
+            resolveFinished();
         };
 
         let copies = 0;
         const sendCopy = async (): Promise<void> => {
             copies += 1;
-            const askedAtMs = clock.monotonicMs();
+            const sentAtMs = clock.monotonicMs();
             const result = await store.transact(batch.transaction, copyTimeoutMs);
             meter.count(`commits.${result.outcome}`);
             if (result.outcome === "committed" || result.outcome === "conflict") {
                 const nowMs = clock.monotonicMs();
                 onAnswer(nowMs);
-                const tookMs = nowMs - askedAtMs;
-                // Copies queue behind each other in a slow store, so one late answer is believed at once.
-                usualMs = copies > 1 ? Math.max(usualMs, tookMs) : usualMs + usualShare * (tookMs - usualMs);
+                const tookMs = nowMs - sentAtMs;
+                // A slow store queues the copies, so a late answer among several copies raises the average at once.
+                typicalAnswerMs = copies > 1
+                    ? Math.max(typicalAnswerMs, tookMs)
+                    : typicalAnswerMs + newestAnswerWeight * (tookMs - typicalAnswerMs);
             }
-            if (settled !== undefined || isStopped()) {
+            if (finalResult !== undefined || isStopped()) {
                 return;
             }
             if (result.outcome === "committed") {
-                settle(result.version);
+                finish(result.version);
                 return;
             }
             if (result.outcome === "conflict") {
-                const version = settledVersion(result.rows, batch);
+                const version = committedVersion(result.rows, batch);
                 if (version === undefined) {
                     const found = result.rows.length;
                     log.write("warn", "commitFenced", { part, batch: batch.batchId, ownerVersion, found });
                 }
-                settle(version);
+                finish(version);
                 return;
             }
             const { outcome, reason } = result;
             log.write("warn", "commitDelayed", { part, batch: batch.batchId, outcome, reason });
         };
 
-        const firstWaitMs = Math.min(longestWaitMs, Math.max(shortestWaitMs, waitFactor * usualMs));
+        const firstWaitMs = Math.min(longestWaitMs, Math.max(shortestWaitMs, waitFactor * typicalAnswerMs));
         let waitMs = firstWaitMs;
         let pauseMs = firstPauseMs;
-        let probesAgainAtMs = -Infinity;
+        let nextProbeAtMs = -Infinity;
 
-        /** Whether the store is back before the wait for a copy's answer is over. */
-        const isBack = async (withinMs: number): Promise<boolean> => {
+        /** Waits up to `withinMs`, probing a store that is considered down; returns whether it answered a probe. */
+        const waitForStore = async (withinMs: number): Promise<boolean> => {
             const endsAtMs = clock.monotonicMs() + withinMs;
-            if (copies < copiesToProbe || clock.monotonicMs() < probesAgainAtMs) {
+            if (copies < minCopiesBeforeProbe || clock.monotonicMs() < nextProbeAtMs) {
                 await sleep(clock, withinMs);
                 return false;
             }
-            while (settled === undefined && !isStopped() && endsAtMs - clock.monotonicMs() >= shortestProbeMs) {
+            while (finalResult === undefined && !isStopped() && endsAtMs - clock.monotonicMs() >= minProbeWaitMs) {
                 const answer = store.read(ownerTable, part, undefined, 1).then(() => true, () => false);
-                const pause = sleep(clock, Math.min(probeMs, endsAtMs - clock.monotonicMs()));
+                const pause = sleep(clock, Math.min(probeIntervalMs, endsAtMs - clock.monotonicMs()));
                 if (await Promise.race([answer, pause.then(() => false)])) {
-                    return settled === undefined;
+                    return finalResult === undefined;
                 }
                 await pause;
             }
             return false;
         };
 
-        while (settled === undefined && !isStopped()) {
+        while (finalResult === undefined && !isStopped()) {
             let answered = false;
             const copy = sendCopy().then(() => {
                 answered = true;
             });
-            const back = await Promise.race([copy.then(() => false), settlement.then(() => false), isBack(waitMs)]);
-            if (settled !== undefined) {
+            const storeAnswers = await Promise.race([
+                copy.then(() => false),
+                finished.then(() => false),
+                waitForStore(waitMs),
+            ]);
+            if (finalResult !== undefined) {
                 break;
             }
-            if (back) {
+            if (storeAnswers) {
                 log.write("info", "storeBack", { part, batch: batch.batchId, copies });
-                probesAgainAtMs = clock.monotonicMs() + probePauseMs;
+                nextProbeAtMs = clock.monotonicMs() + probeCooldownMs;
                 waitMs = firstWaitMs;
                 continue;
             }
             if (answered) {
-                await Promise.race([settlement, sleep(clock, pauseMs)]);
+                await Promise.race([finished, sleep(clock, pauseMs)]);
                 pauseMs = Math.min(longestPauseMs, 2 * pauseMs);
             }
             else {
@@ -172,7 +187,7 @@
                 waitMs = Math.min(longestWaitMs, 2 * waitMs);
             }
         }
-        return settled?.version;
+        return finalResult?.version;
     };
 
     return { write };
--- a/packages/puffinarch/src/core/shard/commitLog.ts
+++ b/packages/puffinarch/src/core/shard/commitLog.ts
@@ -1,63 +1,68 @@
 /**
- * Group commit of a shard: one transaction at a time for everything that changed while the last one was under way; the store
- * carries out those of one part one after another, so that more at once would only queue there. Each is conditional on the
- * owner's row, which fences a replaced owner, and on a sequence row, so that a copy that takes effect late cannot bring old
- * rows back.
+ * Group commit of a shard. At most one transaction is in flight; the next one holds everything that changed meanwhile. The store
+ * serialises the transactions of one partition, so concurrent ones would only queue there. Each transaction is conditional on the owner's
+ * row, which fences a replaced owner, and on a sequence row, so that a duplicate that is applied late cannot restore old rows.
  */
 
 import type { RowTransaction } from "../../types/cellPorts.js";
 import { type BatchWriterOptions, createBatchWriter } from "./batchWriter.js";
 import { journalTable, ownerKey, ownerTable, sequenceKey } from "./shardTables.js";
 
-/** Most rows that a batch puts; the store takes 100 entries a call, three of them conditions and the sequence. */
+/**
+ * Number of job rows at which a batch is closed; its last job may add up to two more. The store accepts 100 entries per call, of which
+ * three are the conditions and the sequence row.
+ */
 const maxBatchRows = 90;
-/** Most bytes of values in a batch; the store takes 1 MB a call, and base64 adds a third. */
+/** Size of the values, in bytes, at which a batch is closed. The store accepts 1 MB per call, and base64 adds a third. */
 const maxBatchBytes = 600_000;
 /**
- * What follows from a change, such as the starts of the next step, is planned within 2 ms, and then shares its batch: a step
- * costs one answer of the store in place of two.
+ * Delay before a batch is built. Follow-up changes, such as starts of the next step, are planned within 2 ms and share the batch, so that
+ * a step costs one round trip to the store instead of two.
  */
-const gatherMs = 3;
+const batchDelayMs = 3;
 
-/** Rows that a change puts and removes. */
+/** Rows to put and remove in order to store a change. */
 export interface RowChange {
     readonly puts: readonly { readonly table: string; readonly key: string; readonly value: string; }[];
     readonly removes: readonly { readonly table: string; readonly key: string; }[];
 }
 
-/** What a commit log needs. */
+/** Dependencies of a commit log. */
 export interface CommitLogOptions extends Omit<BatchWriterOptions, "onAnswer" | "isStopped"> {
-    /** Version of the sequence row as it was read; 0 for none. */
+    /** Version at which the sequence row was read; 0 if there is none. */
     readonly sequenceVersion: number;
-    /** Tells this owner's batches from all others. */
+    /** ID of this owner's claim, which makes the IDs of its batches unique. */
     readonly claimId: string;
-    /** Rows that keep a job as it is now. */
+    /** Encodes the present state of a job as rows to put and remove. */
     readonly encode: (jobId: string) => RowChange;
-    /** A batch took effect at this version of the store, above the claim and below that of any successor. */
+    /** Called when a batch was committed, with its store version: above that of the claim and below that of any successor's claim. */
     readonly onCommitted?: (version: number) => void;
-    /** Another owner has the shard; called once. */
+    /** Called once when another owner has taken the shard. */
     readonly onFenced: () => void;
 }
 
-/** Makes changed jobs durable. */
+/** Writes changed jobs to the store. */
 export interface CommitLog {
-    /** Resolves once the job as it is now is durable; never resolves after a fence or a stop. */
+    /** Resolves once the job's present state is durable; never resolves after the owner was fenced or the log was stopped. */
     commit(jobId: string): Promise<void>;
-    /** Milliseconds since the batch under way was first sent; 0 at rest. */
+    /** Milliseconds since the batch in flight was first sent; 0 without one. */
     stalledMs(): number;
-    /** Local time of the newest answer from the store. */
+    /** Local time of the store's newest answer. */
     answeredAtMs(): number;
-    /** Resolves when nothing waits to be written any more. */
+    /** Resolves when all changes are written. */
     idle(): Promise<void>;
-    /** Takes a job back that no batch has held yet; false where one may have made it durable. */
+    /**
+     * Discards the pending write of a job; false if there is none, or if the batch in flight contains the job and may have made it
+     * durable.
+     */
     withdraw(jobId: string): boolean;
-    /** Writes a batch without jobs where nothing is under way, to learn whether the store answers this owner. */
+    /** If no write is pending, writes a batch without jobs to test whether the store answers this owner. */
     probe(): void;
     stop(): void;
 }
 
-/** A batch under way, or about to be. */
-interface Flight {
+/** A batch that is being written. */
+interface InFlightBatch {
     readonly batchId: string;
     readonly transaction: RowTransaction;
     readonly jobIds: ReadonlySet<string>;
@@ -66,22 +71,22 @@
 }
 
 /**
- * Makes the commit log of a shard's owner.
+ * Creates the commit log of a shard's owner.
  *
  * @example
- * const commits = createCommitLog({ clock, log, meter, store, part, ownerVersion, sequenceVersion, storeMs, claimId, encode, onFenced });
+ * const commits = createCommitLog({ clock, log, meter, store, part, ownerVersion, sequenceVersion, storeLatencyMs, claimId, encode, onFenced });
  * await commits.commit("5c0e7a21d94b36f8");
  */
 export const createCommitLog = (options: CommitLogOptions): CommitLog => {
     const { clock, meter, part, ownerVersion, claimId, encode, onFenced } = options;
     const dirty = new Map<string, (() => void)[]>();
-    let flight: Flight | undefined;
+    let inFlight: InFlightBatch | undefined;
     let sequenceVersion = options.sequenceVersion;
-    let idleWaiting: (() => void)[] = [];
+    let idleResolvers: (() => void)[] = [];
     let batches = 0;
-    /** From the first change on until nothing is left to write. */
-    let working = false;
-    let probeWanted = false;
+    /** True from the first change or probe until everything is written. */
+    let isDraining = false;
+    let probeRequested = false;
     let stopped = false;
     let answeredAtMs = clock.monotonicMs();
 
@@ -93,7 +98,7 @@
         isStopped: () => stopped,
     });
 
-    const takeBatch = (): Flight => {
+    const buildBatch = (): InFlightBatch => {
         const batchId = `${claimId}/${batches}`;
         batches += 1;
         const puts: { table: string; part: string; key: string; value: string; }[] = [];
@@ -129,19 +134,19 @@
         return { batchId, transaction, jobIds, waiting, sentAtMs: clock.monotonicMs() };
     };
 
-    const endIdle = (): void => {
-        for (const resolve of idleWaiting) {
+    const resolveIdle = (): void => {
+        for (const resolve of idleResolvers) {
             resolve();
         }
-        idleWaiting = [];
+        idleResolvers = [];
     };
 
-    /** Writes batches until nothing is left to write. */
+    /** Writes batches until no change or probe is pending. */
     const drain = async (): Promise<void> => {
-        while ((dirty.size > 0 || probeWanted) && !stopped) {
-            probeWanted = false;
-            flight = takeBatch();
-            const version = await writer.write(flight);
+        while ((dirty.size > 0 || probeRequested) && !stopped) {
+            probeRequested = false;
+            inFlight = buildBatch();
+            const version = await writer.write(inFlight);
             if (stopped) {
                 return;
             }
@@ -152,33 +157,33 @@
             }
             sequenceVersion = version;
             options.onCommitted?.(version);
-            meter.record("commitMs", clock.monotonicMs() - flight.sentAtMs);
-            for (const resolve of flight.waiting) {
+            meter.record("commitMs", clock.monotonicMs() - inFlight.sentAtMs);
+            for (const resolve of inFlight.waiting) {
                 resolve();
             }
-            flight = undefined;
-            // Lets those who waited mark more jobs, so that the next batch has them.
+            inFlight = undefined;
+            // Lets resumed callers mark further jobs as changed, so that the next batch includes them.
             await Promise.resolve();
         }
-        working = false;
-        endIdle();
+        isDraining = false;
+        resolveIdle();
     };
 
-    const begin = (): void => {
-        if (!working && !stopped) {
-            working = true;
-            clock.setTimer(gatherMs, () => void drain());
+    const scheduleDrain = (): void => {
+        if (!isDraining && !stopped) {
+            isDraining = true;
+            clock.setTimer(batchDelayMs, () => void drain());
         }
     };
 
     return {
         probe: () => {
-            if (!working) {
-                probeWanted = true;
-                begin();
+            if (!isDraining) {
+                probeRequested = true;
+                scheduleDrain();
             }
         },
-        withdraw: jobId => flight?.jobIds.has(jobId) !== true && dirty.delete(jobId),
+        withdraw: jobId => inFlight?.jobIds.has(jobId) !== true && dirty.delete(jobId),
         commit: jobId =>
             new Promise(resolve => {
                 const resolvers = dirty.get(jobId);
@@ -188,14 +193,14 @@
                 else {
                     resolvers.push(resolve);
                 }
-                begin();
+                scheduleDrain();
             }),
         answeredAtMs: () => answeredAtMs,
-        stalledMs: () => flight === undefined ? 0 : clock.monotonicMs() - flight.sentAtMs,
+        stalledMs: () => inFlight === undefined ? 0 : clock.monotonicMs() - inFlight.sentAtMs,
         idle: () =>
-            !stopped && working
+            !stopped && isDraining
                 ? new Promise(resolve => {
-                    idleWaiting.push(resolve);
+                    idleResolvers.push(resolve);
                 })
                 : Promise.resolve(),
         stop: () => {
