--- a/packages/puffinarch/src/core/shard/evacuate.ts
+++ b/packages/puffinarch/src/core/shard/evacuate.ts
@@ -1,40 +1,43 @@
-/** Which runs to stop, with their checkpoint, so that a worker can be taken down for a while without harm. */
+/** Chooses which runs to stop, with a checkpoint, on a worker that is about to be taken down. */
 
 import { runPhases, type ShardRun, type ShardStep, type ShardTask } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** A long-running task that was started less than this ago may not be at work yet; its start takes up to 1 s. */
-const settleMs = 1_500;
+/** Time after its start within which a long-running task may not serve yet; a start takes up to 1 s. */
+const startupMs = 1_500;
 const fullPercent = 100;
 
 const isAtWork = (task: ShardTask, nowMs: number): boolean =>
     task.runs.some(run =>
         run.phase === runPhases.running && run.percent === fullPercent
-        && run.startedAtMs !== undefined && nowMs - run.startedAtMs >= settleMs
+        && run.startedAtMs !== undefined && nowMs - run.startedAtMs >= startupMs
     );
 
-/** Whether one more task of a long-running step may be away through the scheduler's own actions. */
-const maySpare = ({ spec, tasks }: ShardStep, task: ShardTask, nowMs: number): boolean => {
+/**
+ * Whether the step's budget of absent tasks (`mayMiss`) allows the scheduler to take one more task of a long-running step down; 0 sets no
+ * limit.
+ */
+const isWithinAbsenceBudget = ({ spec, tasks }: ShardStep, task: ShardTask, nowMs: number): boolean => {
     if (spec.mayMiss === 0) {
         return true;
     }
-    const away = tasks.filter(other => other !== task && !isAtWork(other, nowMs)).length;
-    return away < spec.mayMiss;
+    const absentCount = tasks.filter(other => other !== task && !isAtWork(other, nowMs)).length;
+    return absentCount < spec.mayMiss;
 };
 
-/** Whether a run holds its worker until it could be moved: the step's budget of absent tasks is kept at any price. */
+/** Whether a run must be moved before its worker goes down: the step's budget of absent tasks is never exceeded. */
 const isProtected = ({ task }: ShardRun): boolean => task.step.spec.longRunning && task.step.spec.mayMiss > 0;
 
 /**
- * Chooses the runs of a worker to stop now: those that save their progress, and long-running ones as far as their step's
- * budget of absent tasks allows. The others end by themselves.
+ * Returns the runs of a worker to stop now: those that save checkpoints, and long-running ones as far as their step's budget of absent
+ * tasks allows. The others end by themselves.
  *
  * @example
  * for (const run of runsToMove(worker, clock.monotonicMs())) { stop(run); }
  */
 export const runsToMove = (worker: ShardWorker, nowMs: number): readonly ShardRun[] => {
     const chosen: ShardRun[] = [];
-    const touched = new Set<ShardStep>();
+    const stepsChosen = new Set<ShardStep>();
     for (const run of worker.runs.values()) {
         const { spec } = run.task.step;
         if (run.phase !== runPhases.running || spec.gang) {
@@ -46,9 +49,9 @@
             }
             continue;
         }
-        // One of a step at a time: the next once this one is at work elsewhere.
-        if (!touched.has(run.task.step) && maySpare(run.task.step, run.task, nowMs)) {
-            touched.add(run.task.step);
+        // At most one task per step at a time; the next one follows once this one runs elsewhere.
+        if (!stepsChosen.has(run.task.step) && isWithinAbsenceBudget(run.task.step, run.task, nowMs)) {
+            stepsChosen.add(run.task.step);
             chosen.push(run);
         }
     }
@@ -56,7 +59,7 @@
 };
 
 /**
- * Tells whether a worker may go down now at the price of work that starts again elsewhere.
+ * Tells whether a worker may be taken down now although work on it would have to be started again elsewhere.
  *
  * @example
  * mayGoDown(worker); // false while a task of a step with a budget runs there
--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -1,7 +1,7 @@
 /**
- * Waves of upkeep: each VM of a wave is closed to new tasks, emptied, and given its upkeep, few at once and in time. The
- * platform takes the same order again without harm, so that an order whose answer is lost is sent again; what has begun is
- * made durable, so that a successor does not empty those VMs a second time.
+ * Carries out maintenance waves ("waves of upkeep"): each VM of a wave is cordoned, evacuated and then ordered into maintenance, with a
+ * limited number of VMs down at once and before the deadline of the wave. Orders are idempotent on the platform, so an order without an
+ * answer is sent again. Begun VMs are stored durably, so that a successor does not evacuate them again.
  */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
@@ -23,7 +23,7 @@
 import type { WaveRecord, WaveRows } from "./waveRows.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** What waves of upkeep need. */
+/** Dependencies of the maintenance waves. */
 export interface UpkeepOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -33,87 +33,99 @@
     readonly fencingToken: number;
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly stop: (run: ShardRun) => void;
-    /** The worker's incarnation is over. */
+    /** Called when the worker's incarnation is over. */
     readonly lose: (workerId: string) => void;
     /**
-     * For how long after the claim a VM that an earlier owner may have ordered is left alone, unless it is seen in its upkeep:
-     * an order of the earlier owner may still arrive. 0 where the platform refuses lower fencing tokens.
+     * For this long after the claim, a VM that a former owner may have ordered is left alone, unless it is listed in maintenance, since
+     * an order of the former owner may still arrive. 0 if the platform rejects lower fencing tokens.
      */
     readonly settleMs: number;
     readonly rows: Pick<WaveRows, "read" | "record" | "show">;
 }
 
-/** Waves of upkeep, as long as a daemon owns the shard. */
+/** Runs maintenance waves while this daemon owns the shard. */
 export interface Upkeep {
-    /** All waves that the operator asks for. */
+    /** Sets the waves that the operator requests; waves that are no longer among them are withdrawn. */
     update(waves: readonly UpkeepWave[]): void;
     close(): void;
 }
 
-/** Pause between two looks at the VMs while a wave is open; the platform takes 60 listings a second from all. */
-const stepMs = 300;
-/** The same while the last VMs are only waited for; a worker's own look finds most new incarnations before. */
-const returnStepMs = 1_500;
-/** A VM that was ordered is back after some 2 s; work that is cut off costs less than a wave that is late. */
-const downMs = 2_500;
-const shortestPatienceMs = 1_200;
-const longestPatienceMs = 8_000;
-/** A VM that no listing has had for this long has left. */
-const goneMs = 4_000;
-/** An order that may not have been carried out is sent again after this. */
-const orderAgainMs = 600;
 /**
- * An order leaves within this time of the record that proves the ownership: a successor that claims after it knows that the
- * VM may have been ordered, and a process that was frozen in between sends nothing.
+ * Interval between listings of the VMs while orders are left to be sent. The platform allows 60 listings a second over all of its
+ * clients.
  */
-const proofMs = 300;
+const pollIntervalMs = 300;
+/** The same while only the return of ordered VMs is awaited. Most new incarnations are detected earlier, by the polls of the workers. */
+const returnPollIntervalMs = 1_500;
+/**
+ * Time for which an ordered VM counts as down when the deadline is divided among the remaining VMs; it takes about 2 s. The value is
+ * rounded up, since interrupted work costs less than a late wave.
+ */
+const expectedDowntimeMs = 2_500;
+/** Bounds of the time for which a VM is evacuated before tasks that still run there are interrupted. */
+const minEvacuationMs = 1_200;
+const maxEvacuationMs = 8_000;
+/** A VM that has been missing from the listings for this long has left the platform. */
+const absentGraceMs = 4_000;
+/** Time after which an order is sent again if it may not have been carried out. */
+const orderResendMs = 600;
+/**
+ * Maximum time between the start of the conditional write that proves the ownership and the order. A successor that claims the shard
+ * after that write finds the VM recorded as possibly ordered, and a process that was suspended in between sends no order.
+ */
+const ownershipProofMs = 300;
 
 /** Phases of a VM in a wave. */
 const phases = {
     waiting: "waiting",
-    /** Closed to new tasks; those that run end or move. */
-    emptying: "emptying",
-    /** An earlier owner may have ordered it, and its order may still arrive. */
-    doubtful: "doubtful",
+    /** Cordoned; the tasks that run there end or are moved. */
+    evacuating: "evacuating",
+    /** A former owner may have ordered it, and that order may still arrive. */
+    possiblyOrdered: "possiblyOrdered",
     /** The order was sent and may have been carried out. */
     ordered: "ordered",
-    /** The platform has said that it began. */
+    /** The platform has confirmed that the maintenance began. */
     begun: "begun",
-    /** It has left, and needs none. */
+    /** The VM has left the platform and needs no maintenance. */
     gone: "gone",
 } as const;
 
-/** Where a VM of a wave stands. */
-interface Progress {
+/** Progress of one VM of a wave. */
+interface VmProgress {
     readonly vmId: string;
     phase: (typeof phases)[keyof typeof phases];
     /** Local time at which its present phase began. */
     sinceMs: number;
-    /** The worker whose incarnation the order ends, and when that incarnation began as far as it is known. */
+    /** The worker on the VM, whose incarnation the order ends, and when that incarnation began if known. */
     workerId: string;
     bornAtMs: number | undefined;
+    /** Local time of the first listing that lacked the VM; undefined while it is listed. */
     absentSinceMs: number | undefined;
-    /** It is down, or may be, for this wave. */
+    /** Whether the VM is, or may be, down for this wave. */
     down: boolean;
 }
 
+/** A requested wave and the progress of its VMs. */
 interface OpenWave {
     readonly wave: UpkeepWave;
-    readonly seenAtMs: number;
-    readonly vms: readonly Progress[];
-    reported: WaveState | undefined;
-    /** Number of VMs that were begun when it was saved last. */
-    saved: number;
+    /** Local time at which this owner received the request. */
+    readonly receivedAtMs: number;
+    readonly vms: readonly VmProgress[];
+    /** State that the operator is shown; undefined before the first report. */
+    reportedState: WaveState | undefined;
+    /** Number of begun VMs in the record that was stored last. */
+    savedBegunCount: number;
+    /** VMs that may have been ordered, as in `WaveRecord`. */
     readonly ordered: Map<string, number>;
 }
 
-const isSettled = ({ phase }: Progress): boolean => phase === phases.begun || phase === phases.gone;
+const isSettled = ({ phase }: VmProgress): boolean => phase === phases.begun || phase === phases.gone;
 
 /**
- * Starts to act on waves of upkeep.
+ * Starts to process maintenance waves.
  *
  * @example
- * const upkeep = startUpkeep({ clock, log, meter, port, holderId, fencingToken, workers, stop, lose, settleMs: 0, rows });
+ * const upkeep = startUpkeep({ clock, log, meter, port, holderId, fencingToken, workers, stop, onIncarnationEnded, staleOrderWindowMs: 0, rows });
  * upkeep.update(waves);
  */
 export const startUpkeep = (options: UpkeepOptions): Upkeep => {
@@ -121,16 +133,16 @@
     const open = new Map<number, OpenWave>();
     let running = false;
     let closed = false;
-    /** Read when the first wave comes; most owners never see one. */
-    let recordsBefore: Promise<ReadonlyMap<number, WaveRecord>> | undefined;
+    /** Records of former owners, read when the first wave is requested; most owners never receive one. */
+    let storedRecords: Promise<ReadonlyMap<number, WaveRecord>> | undefined;
     const claimedAtMs = clock.monotonicMs();
 
-    const enter = (progress: Progress, phase: Progress["phase"]): void => {
+    const setPhase = (progress: VmProgress, phase: VmProgress["phase"]): void => {
         progress.phase = phase;
         progress.sinceMs = clock.monotonicMs();
     };
 
-    /** Closes its worker to new tasks, or opens it again. */
+    /** Cordons or uncordons a worker. */
     const cordon = (workerId: string, cordoned: boolean): void => {
         const worker = workers.get(workerId);
         if (worker !== undefined) {
@@ -141,21 +153,21 @@
     const begunOf = ({ vms }: OpenWave): ReadonlySet<string> =>
         new Set(vms.filter(vm => vm.phase === phases.begun).map(vm => vm.vmId));
 
-    /** Makes durable that the VM may be ordered from now on; false where the order must not be sent. */
-    const announce = async (openWave: OpenWave, { vmId }: Progress): Promise<boolean> => {
+    /** Records durably that the VM may be ordered from now on; false if the order must not be sent. */
+    const recordOrderIntent = async (openWave: OpenWave, { vmId }: VmProgress): Promise<boolean> => {
         const askedAtMs = clock.monotonicMs();
         openWave.ordered.set(vmId, fencingToken);
         const record = { begun: begunOf(openWave), ordered: openWave.ordered };
-        const taken = await options.rows.record(openWave.wave.number, record);
-        return taken && !closed && clock.monotonicMs() - askedAtMs <= proofMs;
+        const recorded = await options.rows.record(openWave.wave.number, record);
+        return recorded && !closed && clock.monotonicMs() - askedAtMs <= ownershipProofMs;
     };
 
-    const order = async (progress: Progress, wave: number): Promise<UpkeepOutcome> => {
+    const sendOrder = async (progress: VmProgress, wave: number): Promise<UpkeepOutcome> => {
         if (progress.phase !== phases.ordered) {
-            // A copy may be sent when the VM is back already.
+            // Not updated when an order is sent again, since the VM may already be back with its next incarnation.
             progress.bornAtMs = workers.get(progress.workerId)?.bornAtMs;
         }
-        enter(progress, phases.ordered);
+        setPhase(progress, phases.ordered);
         progress.down = true;
         meter.count("upkeepOrders");
         const outcome = await port.upkeep({ vmId: progress.vmId, wave, holderId, fencingToken });
@@ -168,49 +180,49 @@
         return outcome;
     };
 
-    /** What follows from each answer to an order. */
-    const answers: Readonly<Record<UpkeepOutcome, (progress: Progress) => void>> = {
-        done: progress => enter(progress, phases.begun),
+    /** Phase changes for each outcome of an order. */
+    const outcomeHandlers: Readonly<Record<UpkeepOutcome, (progress: VmProgress) => void>> = {
+        done: progress => setPhase(progress, phases.begun),
         busy: progress => {
             progress.down = false;
-            enter(progress, phases.emptying);
+            setPhase(progress, phases.evacuating);
         },
         invalid: progress => {
             progress.down = false;
             cordon(progress.workerId, false);
-            enter(progress, phases.gone);
+            setPhase(progress, phases.gone);
         },
         fenced: () => {
             closed = true;
         },
-        // It may begin, or have begun: it counts as down and is ordered again.
+        // The maintenance may begin or have begun: the VM counts as down, and the order is sent again.
         refused: () => {},
         unknown: () => {},
     };
 
-    /** Whether another worker is on the VM, or the same one has started again under its id. */
-    const hasNextIncarnation = ({ workerId, bornAtMs }: Progress, vm: VmEntry): boolean =>
+    /** Whether the VM has another worker, or a later incarnation of the same one. */
+    const hasNextIncarnation = ({ workerId, bornAtMs }: VmProgress, vm: VmEntry): boolean =>
         workerId !== "" && vm.workerId !== ""
         && (vm.workerId !== workerId || isOtherIncarnation(bornAtMs, workers.get(workerId)?.bornAtMs));
 
-    /** Takes in what a listing says of a VM. */
-    const observe = (progress: Progress, vm: VmEntry | undefined, askedAtMs: number): void => {
+    /** Applies a listing of the VMs, requested at `askedAtMs`, to the progress of one VM. */
+    const applyListing = (progress: VmProgress, vm: VmEntry | undefined, askedAtMs: number): void => {
         const nowMs = clock.monotonicMs();
         if (vm === undefined) {
             progress.absentSinceMs ??= nowMs;
-            if (!isSettled(progress) && nowMs - progress.absentSinceMs > goneMs) {
+            if (!isSettled(progress) && nowMs - progress.absentSinceMs > absentGraceMs) {
                 progress.down = false;
-                enter(progress, phases.gone);
+                setPhase(progress, phases.gone);
             }
             return;
         }
         progress.absentSinceMs = undefined;
-        if (progress.phase === phases.doubtful) {
+        if (progress.phase === phases.possiblyOrdered) {
             if (vm.state === vmStates.upkeep) {
-                enter(progress, phases.begun);
+                setPhase(progress, phases.begun);
             }
             else if (nowMs - claimedAtMs > options.settleMs) {
-                enter(progress, phases.waiting);
+                setPhase(progress, phases.waiting);
             }
         }
         if (
@@ -222,20 +234,25 @@
             }
             progress.down = false;
         }
-        if (progress.phase === phases.waiting || progress.phase === phases.emptying) {
+        if (progress.phase === phases.waiting || progress.phase === phases.evacuating) {
             progress.workerId = vm.workerId;
         }
     };
 
-    const patienceOf = ({ wave, seenAtMs, vms }: OpenWave): number => {
+    /** Time for the evacuation of each VM, so that all of the wave's remaining VMs begin before its deadline. */
+    const evacuationLimitMs = ({ wave, receivedAtMs, vms }: OpenWave): number => {
         const left = vms.filter(vm => !isSettled(vm)).length;
         const rounds = Math.max(1, Math.ceil(left / wave.atOnce));
-        const leftMs = seenAtMs + wave.deadlineMs - clock.monotonicMs();
-        return Math.min(longestPatienceMs, Math.max(shortestPatienceMs, leftMs / (rounds + 1) - downMs));
+        const leftMs = receivedAtMs + wave.deadlineMs - clock.monotonicMs();
+        return Math.min(maxEvacuationMs, Math.max(minEvacuationMs, leftMs / (rounds + 1) - expectedDowntimeMs));
     };
 
-    const empty = (progress: Progress, patienceMs: number): boolean => {
-        // It may have started again since it was closed to new tasks.
+    /**
+     * Stops the runs that can be moved off the VM; true once it may be ordered: nothing runs there, or the time for the evacuation is over
+     * and what is left may be interrupted.
+     */
+    const evacuate = (progress: VmProgress, evacuationMs: number): boolean => {
+        // The worker may have restarted and lost its cordon.
         cordon(progress.workerId, true);
         const worker = workers.get(progress.workerId);
         if (worker === undefined || worker.runs.size === 0) {
@@ -251,37 +268,37 @@
             });
             options.stop(run);
         }
-        return nowMs - progress.sinceMs > patienceMs && mayGoDown(worker);
+        return nowMs - progress.sinceMs > evacuationMs && mayGoDown(worker);
     };
 
-    /** What an earlier owner ordered may still be down. */
-    const isDown = ({ vmId, down }: Progress, vms: ReadonlyMap<string, VmEntry>): boolean =>
+    /** Includes VMs that are down because of a former owner's order. */
+    const isDown = ({ vmId, down }: VmProgress, vms: ReadonlyMap<string, VmEntry>): boolean =>
         down || vms.get(vmId)?.state === vmStates.upkeep;
 
     const advance = async (openWave: OpenWave, vms: ReadonlyMap<string, VmEntry>): Promise<void> => {
         const { wave } = openWave;
-        const patienceMs = patienceOf(openWave);
-        // While the first ones are down, the next ones are emptied already.
-        const ahead = openWave.vms.filter(vm => vm.phase === phases.emptying).length;
+        const evacuationMs = evacuationLimitMs(openWave);
+        // The next VMs are evacuated while the current ones are down.
+        const ahead = openWave.vms.filter(vm => vm.phase === phases.evacuating).length;
         const next = openWave.vms.filter(vm => vm.phase === phases.waiting).slice(0, Math.max(0, wave.atOnce - ahead));
         for (const progress of next) {
-            enter(progress, phases.emptying);
+            setPhase(progress, phases.evacuating);
             cordon(progress.workerId, true);
         }
         for (const progress of openWave.vms) {
             if (open.get(wave.number) !== openWave) {
-                // It was withdrawn while an order was under way.
+                // The wave was withdrawn while an order was in flight.
                 return;
             }
             const nowMs = clock.monotonicMs();
-            const again = progress.phase === phases.ordered && nowMs - progress.sinceMs > orderAgainMs;
+            const resend = progress.phase === phases.ordered && nowMs - progress.sinceMs > orderResendMs;
             const isUp = vms.get(progress.vmId)?.state === vmStates.up;
-            const ready = progress.phase === phases.emptying && isUp && empty(progress, patienceMs);
+            const ready = progress.phase === phases.evacuating && isUp && evacuate(progress, evacuationMs);
             const down = openWave.vms.filter(vm => vm !== progress && isDown(vm, vms)).length;
-            if (closed || !again && !ready || down >= wave.atOnce || !await announce(openWave, progress)) {
+            if (closed || !resend && !ready || down >= wave.atOnce || !await recordOrderIntent(openWave, progress)) {
                 continue;
             }
-            answers[await order(progress, wave.number)](progress);
+            outcomeHandlers[await sendOrder(progress, wave.number)](progress);
         }
     };
 
@@ -289,43 +306,43 @@
         const { wave, vms } = openWave;
         const state = vms.every(isSettled) ? waveStates.completed : waveStates.running;
         const begun = begunOf(openWave);
-        if (openWave.reported === state && openWave.saved === begun.size) {
+        if (openWave.reportedState === state && openWave.savedBegunCount === begun.size) {
             return;
         }
         const { rows } = options;
         const recorded = begun.size === 0 || await rows.record(wave.number, { begun, ordered: openWave.ordered });
         if (recorded && await rows.show(wave.number, state)) {
-            openWave.saved = begun.size;
-            openWave.reported = state;
+            openWave.savedBegunCount = begun.size;
+            openWave.reportedState = state;
             log.write("info", "waveReported", { wave: wave.number, state, begun: begun.size, of: vms.length });
         }
     };
 
-    const step = async (): Promise<void> => {
+    const runCycle = async (): Promise<void> => {
         const askedAtMs = clock.monotonicMs();
         const vms = new Map((await port.list()).map(vm => [vm.vmId, vm]));
         for (const openWave of open.values()) {
             for (const progress of openWave.vms) {
-                observe(progress, vms.get(progress.vmId), askedAtMs);
+                applyListing(progress, vms.get(progress.vmId), askedAtMs);
             }
             await advance(openWave, vms);
             await report(openWave);
         }
     };
 
-    const isOver = ({ reported, vms }: OpenWave): boolean =>
-        reported === waveStates.completed && vms.every(vm => !vm.down);
+    const isOver = ({ reportedState, vms }: OpenWave): boolean =>
+        reportedState === waveStates.completed && vms.every(vm => !vm.down);
 
-    const run = async (): Promise<void> => {
+    const runLoop = async (): Promise<void> => {
         while (!closed && [...open.values()].some(openWave => !isOver(openWave))) {
             try {
-                await step();
+                await runCycle();
             }
             catch (error) {
                 log.write("warn", "upkeepDelayed", { reason: failureOf(error).message });
             }
             const ordersLeft = [...open.values()].some(({ vms }) => !vms.every(isSettled));
-            await sleep(clock, ordersLeft ? stepMs : returnStepMs);
+            await sleep(clock, ordersLeft ? pollIntervalMs : returnPollIntervalMs);
         }
         running = false;
     };
@@ -333,7 +350,7 @@
     const withdraw = (number: number): void => {
         log.write("info", "waveWithdrawn", { wave: number });
         for (const progress of open.get(number)?.vms ?? []) {
-            // An order without an answer may never have arrived.
+            // An unanswered order may never have arrived, so the VM may stay up and must be uncordoned.
             if (!isSettled(progress)) {
                 cordon(progress.workerId, false);
             }
@@ -341,9 +358,9 @@
         open.delete(number);
     };
 
-    const begin = async (waves: readonly UpkeepWave[]): Promise<void> => {
-        recordsBefore ??= options.rows.read();
-        const earlier = await recordsBefore;
+    const applyWaves = async (waves: readonly UpkeepWave[]): Promise<void> => {
+        storedRecords ??= options.rows.read();
+        const records = await storedRecords;
         const wanted = new Set(waves.map(wave => wave.number));
         for (const number of [...open.keys()].filter(known => !wanted.has(known))) {
             withdraw(number);
@@ -352,15 +369,19 @@
             if (open.has(wave.number)) {
                 continue;
             }
-            const { begun, ordered } = earlier.get(wave.number) ?? { begun: new Set(), ordered: new Map() };
+            const { begun, ordered } = records.get(wave.number) ?? { begun: new Set(), ordered: new Map() };
             const nowMs = clock.monotonicMs();
             const mayArrive = options.settleMs > 0 && nowMs - claimedAtMs <= options.settleMs;
-            const phaseOf = (vmId: string): Progress["phase"] =>
-                begun.has(vmId) ? phases.begun : mayArrive && ordered.has(vmId) ? phases.doubtful : phases.waiting;
+            const phaseOf = (vmId: string): VmProgress["phase"] =>
+                begun.has(vmId)
+                    ? phases.begun
+                    : mayArrive && ordered.has(vmId)
+                    ? phases.possiblyOrdered
+                    : phases.waiting;
             log.write("info", "waveSeen", { ...wave, begun: begun.size, ordered: ordered.size });
             open.set(wave.number, {
                 wave,
-                seenAtMs: nowMs,
+                receivedAtMs: nowMs,
                 vms: wave.vmIds.map(vmId => ({
                     vmId,
                     phase: phaseOf(vmId),
@@ -370,14 +391,14 @@
                     absentSinceMs: undefined,
                     down: false,
                 })),
-                reported: undefined,
-                saved: begun.size,
+                reportedState: undefined,
+                savedBegunCount: begun.size,
                 ordered: new Map(ordered),
             });
         }
         if (!running && !closed) {
             running = true;
-            await run();
+            await runLoop();
         }
     };
 
@@ -386,7 +407,7 @@
             if (waves.length === 0 && open.size === 0) {
                 return;
             }
-            begin(waves).catch((error: unknown) => {
+            applyWaves(waves).catch((error: unknown) => {
                 log.write("error", "upkeepFailed", { reason: failureOf(error).message });
             });
         },
--- a/packages/puffinarch/src/core/shard/waveRows.ts
+++ b/packages/puffinarch/src/core/shard/waveRows.ts
@@ -1,6 +1,6 @@
 /**
- * Rows that keep waves of upkeep: which VMs have begun and which may have been ordered, for a successor, and the state that
- * the operator is shown.
+ * Stores maintenance waves: which VMs have begun and which may have been ordered, for a successor, and the state that the operator is
+ * shown.
  */
 
 import { z } from "zod";
@@ -12,39 +12,39 @@
 import type { RowReader } from "./rowReader.js";
 import { ownerKey, ownerTable, upkeepTable } from "./shardTables.js";
 
-/** What the rows of waves need. */
+/** Dependencies of the rows of maintenance waves. */
 export interface WaveRowsOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly store: RowStore;
     readonly part: string;
-    /** Version of the owner's row. */
+    /** Version of the owner's row under this owner's claim. */
     readonly ownerVersion: number;
-    /** Where and how the operator is shown a wave's state. */
+    /** Returns the row that shows the operator a wave's state. */
     readonly stateRow: (wave: number, state: WaveState) => RowKey & { readonly value: string; };
     readonly reader: RowReader;
     readonly isClosed: () => boolean;
 }
 
-/** What a successor must know of a wave. */
+/** What is stored of a wave for a successor. */
 export interface WaveRecord {
-    /** VMs that the platform has said to have begun. */
+    /** VMs whose maintenance the platform has confirmed to have begun. */
     readonly begun: ReadonlySet<string>;
-    /** VMs for which an order may have been sent, with the fencing token of the newest owner that may have sent it. */
+    /** VMs for which an order may have been sent, each with the fencing token of the newest owner that may have sent it. */
     readonly ordered: ReadonlyMap<string, number>;
 }
 
-/** Rows of waves. */
+/** Reads and writes the rows of maintenance waves. */
 export interface WaveRows {
-    /** Records by wave. */
+    /** Returns the records by wave number. */
     read(): Promise<ReadonlyMap<number, WaveRecord>>;
-    /** False where the store did not take it, or another daemon owns the shard. */
+    /** Stores a record; false if it is not known to be stored, or another daemon owns the shard. */
     record(wave: number, record: WaveRecord): Promise<boolean>;
-    /** Shows the operator a wave's state; false where the store did not take it. */
+    /** Shows the operator a wave's state; false if the row is not known to be stored. */
     show(wave: number, state: WaveState): Promise<boolean>;
 }
 
-/** A record as it is stored; an earlier version stored the VMs that have begun alone. */
+/** A record as it is stored; an earlier version stored only the list of VMs that have begun. */
 type StoredRecord = readonly string[] | {
     readonly begun: readonly string[];
     readonly ordered: Readonly<Record<string, number>>;
@@ -64,18 +64,18 @@
     }),
 ], "the VMs of a wave");
 
-const isOldRecord = (stored: StoredRecord): stored is readonly string[] => Array.isArray(stored);
+const isLegacyRecord = (stored: StoredRecord): stored is readonly string[] => Array.isArray(stored);
 
-const recordOf = (stored: StoredRecord): WaveRecord =>
-    isOldRecord(stored)
+const toWaveRecord = (stored: StoredRecord): WaveRecord =>
+    isLegacyRecord(stored)
         ? { begun: new Set(stored), ordered: new Map() }
         : { begun: new Set(stored.begun), ordered: new Map(Object.entries(stored.ordered)) };
 
-/** Twenty times a usual commit; what was not taken is saved again with the next step. */
+/** Timeout of a write, about 20 times the usual commit time. A failed write is repeated in the next cycle. */
 const saveTimeoutMs = 600;
 
 /**
- * Makes the rows of a shard's waves.
+ * Creates the access to the rows of a shard's maintenance waves.
  *
  * @example
  * const rows = createWaveRows({ clock, log, store, part, ownerVersion, stateRow, reader, isClosed });
@@ -99,14 +99,14 @@
             return true;
         }
         const row = stateRow(wave, state);
-        // A copy that is carried out late must not bring "running" back.
+        // A write of "running" that is applied late must not replace "completed".
         const expect = state === waveStates.running ? [{ ...row, version: 0 }] : [];
         const { outcome } = await store.transact({ expect, puts: [row], removes: [] }, saveTimeoutMs);
-        const taken = outcome === "committed" || outcome === "conflict";
-        if (taken) {
+        const saved = outcome === "committed" || outcome === "conflict";
+        if (saved) {
             shown.set(wave, state);
         }
-        return taken;
+        return saved;
     };
 
     return {
@@ -117,7 +117,7 @@
             for (const row of read?.rows ?? []) {
                 const stored = options.reader.entryOf(row, decodeRow(row, recordSchema));
                 if (stored !== undefined) {
-                    records.set(Number(row.key), recordOf(stored));
+                    records.set(Number(row.key), toWaveRecord(stored));
                 }
             }
             return records;
