--- a/packages/puffinarch/src/core/shard/accounts.ts
+++ b/packages/puffinarch/src/core/shard/accounts.ts
@@ -1,30 +1,31 @@
-/** What each organisation has running over all workers of a shard, beside the cap that the operator gives it. */
+/** Resource use of each organisation over all workers of a shard, its cap, and the rate at which it may submit jobs. */
 
 import { add, noResources, type Resources, subtract } from "../../types/resources.js";
 import type { Organisation } from "../../types/work.js";
 
-/** The use that one organisation makes of a shard. */
+/** Use, cap and submission rate of one organisation in a shard. */
 export interface Account {
-    /** Empty for jobs whose callers belong to none, which no cap holds back. */
+    /** Empty for jobs of callers without an organisation, to which no cap applies. */
     readonly organisation: string;
-    /** An amount of 0 is no limit. */
+    /** Maximum of the resources in use at a time; an amount of 0 means no limit. */
     cap: Resources;
+    /** Jobs per second that it may submit within its share. */
     weight: number;
-    /** Jobs that it may still submit within its share, and the time of day at which they were counted. */
-    allowance: number;
-    countedAtMs: number;
-    /** All that runs, may run or is about to be started for it, until it is known to be gone. */
+    /** Tokens of its token bucket, one for each job within its share, and when they were last added, in ms since the Unix epoch. */
+    tokens: number;
+    refilledAtMs: number;
+    /** Resources of all runs that are planned, running or possibly running, until they are known to be gone. */
     held: Resources;
 }
 
 /** The accounts of a shard. */
 export interface Accounts {
-    /** The account of an organisation; one that the configuration lacks has the cap that is given here, until it is listed. */
+    /** Gives the account of an organisation, created if needed. `knownCap` applies while the configuration does not list it. */
     of(organisation: string, knownCap?: Resources): Account;
-    /** Takes the configured caps and weights. An organisation that has left keeps its last ones for what it still has accepted. */
+    /** Applies configured caps and weights. An organisation that is no longer listed keeps its last ones for its accepted jobs. */
     update(organisations: readonly Organisation[]): void;
     all(): Iterable<Account>;
-    /** Counts the runs that hold room anew; names the organisations whose accounts had another sum, which they have no more. */
+    /** Recomputes use from all runs that hold resources; returns the organisations whose account had to be corrected. */
     recount(runs: Iterable<{ readonly account: Account; readonly held: Resources; }>): readonly string[];
 }
 
@@ -32,7 +33,7 @@
 const dimensions = ["cpuMillis", "memoryMib", "accelerators"] as const;
 
 /**
- * Makes the account of an organisation that has nothing running.
+ * Creates the account of an organisation without runs.
  *
  * @example
  * const account = newAccount("north", { cpuMillis: 64_000, memoryMib: 0, accelerators: 0 });
@@ -41,18 +42,18 @@
     organisation,
     cap,
     weight: defaultWeight,
-    allowance: Infinity,
-    countedAtMs: 0,
+    tokens: Infinity,
+    refilledAtMs: 0,
     held: noResources,
 });
 
-/** Jobs that an organisation did not submit within its share are saved up for so long. */
-const savedMs = 2_000;
+/** The token bucket of an organisation holds at most the tokens of this time. */
+const bucketMs = 2_000;
 const msPerSecond = 1_000;
 
 /**
- * Takes a job out of what an organisation may submit within its share, its weight in jobs a second; false where that is used
- * up. Callers without an organisation have no share to exceed.
+ * Takes a token for one job from the token bucket of an organisation, which is refilled with its weight in tokens per second;
+ * false where none is left. Callers without an organisation are not limited.
  *
  * @example
  * takeShare(newAccount(""), clock.nowMs()); // true
@@ -61,34 +62,34 @@
     if (account.organisation === "") {
         return true;
     }
-    const most = Math.max(1, account.weight * savedMs / msPerSecond);
-    const gained = account.weight * Math.max(0, wallMs - account.countedAtMs) / msPerSecond;
-    account.allowance = Math.min(most, account.allowance + gained);
-    account.countedAtMs = wallMs;
-    if (account.allowance < 1) {
+    const maxTokens = Math.max(1, account.weight * bucketMs / msPerSecond);
+    const gained = account.weight * Math.max(0, wallMs - account.refilledAtMs) / msPerSecond;
+    account.tokens = Math.min(maxTokens, account.tokens + gained);
+    account.refilledAtMs = wallMs;
+    if (account.tokens < 1) {
         return false;
     }
-    account.allowance -= 1;
+    account.tokens -= 1;
     return true;
 };
 
-/** Gives back the share of a job that was not accepted after all; its caller submits it again. */
+/** Returns the token of a job that was not accepted after all; its caller is expected to submit it again. */
 export const returnShare = (account: Account): void => {
-    account.allowance += 1;
+    account.tokens += 1;
 };
 
-/** Counts a run in. */
+/** Adds the resources of a run to an account's use. */
 export const charge = (account: Account, amount: Resources): void => {
     account.held = add(account.held, amount);
 };
 
-/** Counts a run out. */
+/** Subtracts the resources of a run from an account's use. */
 export const release = (account: Account, amount: Resources): void => {
     account.held = subtract(account.held, amount);
 };
 
 /**
- * Tells how many more tasks of a size an organisation may start; `Infinity` where no cap limits what they need.
+ * Gives how many more tasks of a size an organisation may start, beside `reserved` resources; `Infinity` where no cap limits them.
  *
  * @example
  * tasksUnderCap(newAccount("north", { cpuMillis: 4_000, memoryMib: 0, accelerators: 0 }), need); // 4 for one core each
@@ -104,7 +105,7 @@
 };
 
 /**
- * Tells whether an organisation is over its cap in an amount that a run takes: the cap was lowered since the run was planned.
+ * Tells whether an organisation exceeds its cap in an amount that a run needs, as after its cap was lowered.
  *
  * @example
  * if (isOverCap(account, run.held)) { dropRun(worker, run); }
@@ -113,7 +114,7 @@
     dimensions.some(name => cap[name] > 0 && need[name] > 0 && held[name] > cap[name]);
 
 /**
- * Names an amount of which a need is above what a cap ever allows; undefined where it fits under an empty account's cap.
+ * Gives the name of an amount of which a task needs more than the whole cap; undefined where the task could start alone.
  *
  * @example
  * amountAboveCap({ cpuMillis: 4_000, memoryMib: 0, accelerators: 0 }, need); // undefined for one core
@@ -122,7 +123,7 @@
     dimensions.find(name => cap[name] > 0 && need[name] > cap[name]);
 
 /**
- * Tells whether an organisation uses half of its cap or more, in any amount that it limits.
+ * Tells whether an organisation uses at least half of any amount that its cap limits.
  *
  * @example
  * usesHalfOfCap(newAccount("north")); // false
@@ -131,7 +132,7 @@
     dimensions.some(name => cap[name] > 0 && 2 * held[name] >= cap[name]);
 
 /**
- * Makes the accounts of a shard; none is known before the first job or configuration.
+ * Creates the accounts of a shard, without any organisation.
  *
  * @example
  * const accounts = createAccounts();
@@ -157,15 +158,15 @@
         for (const { account, held } of runs) {
             sums.set(account, add(sums.get(account) ?? noResources, held));
         }
-        const wrong: string[] = [];
+        const corrected: string[] = [];
         for (const account of byName.values()) {
             const sum = sums.get(account) ?? noResources;
             if (dimensions.some(name => sum[name] !== account.held[name])) {
-                wrong.push(account.organisation);
+                corrected.push(account.organisation);
                 account.held = sum;
             }
         }
-        return wrong;
+        return corrected;
     };
 
     return {
--- a/packages/puffinarch/src/core/shard/adviceBreadth.ts
+++ b/packages/puffinarch/src/core/shard/adviceBreadth.ts
@@ -1,41 +1,41 @@
 /**
- * How many workers a call to the advisor names. A call has a fixed cost beside that of each name, so that a wide step whose
- * tasks need many workers gets its tickets for less in one broad call than in several narrow ones.
+ * Chooses how many workers a call to the advisor names. A call has a fixed cost beside the cost of each name, so that a step
+ * with many tasks gets its tickets at less cost in one call with many names than in several smaller ones.
  */
 
 import type { AdviceAnswer } from "../../types/cellPorts.js";
 import type { ShardStep } from "./jobBook.js";
 import type { ShardSettings } from "./shardSettings.js";
 
-/** Chooses the breadth of calls, by the share of workers that were good for a queue's steps so far. */
+/** Chooses the number of names from the share of named workers that the advisor has approved for a queue's steps so far. */
 export interface AdviceBreadth {
-    /** Most workers to name for a step of which so many tasks wait. */
+    /** Gives the maximum number of workers to name for a step with this number of waiting tasks. */
     namesFor(step: ShardStep, waiting: number): number;
-    /** Takes an answer about workers that nobody had asked about for the step before. */
+    /** Records an answer; `firstNamed` are the workers that were named for the step for the first time. */
     note(step: ShardStep, firstNamed: readonly string[], answer: AdviceAnswer): void;
 }
 
-/** Taken for queues about which nothing is known. */
+/** Approved share that is assumed for queues without answers. */
 const unknownShare = 0.5;
-/** Weight of the newest answer: a memory of some ten calls. */
+/** Weight of the newest answer in the moving average, which thus covers about ten calls. */
 const newestWeight = 0.1;
 
 /**
- * Makes the breadth of a shard's calls.
+ * Creates the chooser of call sizes for a shard.
  *
  * @example
- * const breadth = createAdviceBreadth(settings);
- * breadth.namesFor(step, 30); // 60 before the first answer
+ * const sizer = createAdviceCallSizer(settings);
+ * sizer.namesFor(step, 30); // 60 before the first answer
  */
 export const createAdviceBreadth = (
     { usualAdviceWorkers, maxAdviceWorkers }: Pick<ShardSettings, "usualAdviceWorkers" | "maxAdviceWorkers">,
 ): AdviceBreadth => {
-    const goodShares = new Map<string, number>();
+    const approvedShares = new Map<string, number>();
     const keyOf = ({ occurrence }: ShardStep): string => occurrence.job.queue.key;
 
     return {
         namesFor: (step, waiting) => {
-            const needed = Math.ceil(waiting / Math.max(0.01, goodShares.get(keyOf(step)) ?? unknownShare));
+            const needed = Math.ceil(waiting / Math.max(0.01, approvedShares.get(keyOf(step)) ?? unknownShare));
             return Math.min(maxAdviceWorkers, Math.max(usualAdviceWorkers, needed));
         },
         note: (step, firstNamed, { good }) => {
@@ -44,8 +44,8 @@
             }
             const goodIds = new Set(good.map(({ workerId }) => workerId));
             const share = firstNamed.filter(workerId => goodIds.has(workerId)).length / firstNamed.length;
-            const known = goodShares.get(keyOf(step)) ?? share;
-            goodShares.set(keyOf(step), known + newestWeight * (share - known));
+            const known = approvedShares.get(keyOf(step)) ?? share;
+            approvedShares.set(keyOf(step), known + newestWeight * (share - known));
         },
     };
 };
--- a/packages/puffinarch/src/core/shard/adviceDesk.ts
+++ b/packages/puffinarch/src/core/shard/adviceDesk.ts
@@ -1,8 +1,9 @@
 /**
- * Calls to the advisor, spread over all daemons: it serves one call at a time for each calling VM, so each daemon is a
- * lane. Quick calls always find lanes that slow ones may not take, and a call that has waited long is not passed for ever:
- * its step asks nobody else meanwhile, so that its tasks would stand with room for them. For the same reason a call that gets
- * no answer in its time is also given to another lane, and a lane that failed is asked after those that did not.
+ * Dispatches calls to the advisor over all daemons. The advisor serves one call at a time for each calling VM, so each daemon
+ * is a lane for one call. Some lanes are closed to slow calls, so that quick ones do not queue behind them. While a call is
+ * open, its step requests no other advice and its tasks may not run although capacity is free. Therefore a call that has waited
+ * long is served before more urgent ones, a call without a timely answer is also given to another lane, and lanes that failed
+ * are used last.
  */
 
 import type { AdviceAnswer, AdviceRequest } from "../../types/cellPorts.js";
@@ -13,113 +14,120 @@
 export interface AdviceOrder {
     readonly stepName: string;
     readonly workerIds: readonly string[];
-    /** How long the advisor is expected to take. */
+    /** Time that the advisor is expected to take. */
     readonly costMs: number;
-    /** 0 first. */
+    /** Lower values are served first. */
     readonly priority: number;
     readonly onAnswer: (answer: AdviceAnswer) => void;
     readonly onFailure: () => void;
-    /** False once nobody wants the answer any more. */
+    /** Returns false once the answer is no longer needed. */
     readonly wanted: () => boolean;
 }
 
-interface WaitingOrder extends AdviceOrder {
+interface QueuedCall extends AdviceOrder {
     readonly askedAtMs: number;
-    /** Lanes that it was given to so far, and those of them that have neither answered nor failed. */
+    /** Number of lanes that it was given to so far, and of those that have neither answered nor failed yet. */
     lanesAsked: number;
     lanesOpen: number;
-    /** Answered, or given up: what comes of other lanes is of no use. */
+    /** True once it was answered or given up; later results of other lanes are ignored. */
     settled: boolean;
 }
 
-/** Failures of a lane since it answered last. */
+/** Failures of a lane since its last answer. */
 interface LaneFailures {
     readonly inARow: number;
     readonly newestAtMs: number;
 }
 
-/** What the desk needs. */
+/** Dependencies of a dispatcher of advisor calls. */
 export interface AdviceDeskOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
-    /** Daemons that can call the advisor now, this one included. */
+    /** Ids of the daemons that can call the advisor now, this one first. */
     readonly lanes: () => readonly string[];
     readonly call: (laneId: string, request: AdviceRequest) => Promise<AdviceAnswer>;
 }
 
 /** Queues calls and gives each to a free lane. */
 export interface AdviceDesk {
-    ask(order: AdviceOrder): void;
-    /** Looks for free lanes again, after their number changed. */
+    /** Queues a call and reports its answer or failure through its callbacks. */
+    ask(call: AdviceOrder): void;
+    /** Dispatches queued calls again, after the set of lanes has changed. */
     wake(): void;
+    /** Drops all queued calls and reports no further results. */
     close(): void;
 }
 
-/** Calls that cost more may not take every lane; between the two sites' cheap (28 ms) and dear (530 ms) calls. */
+/** Calls that cost more than this are slow. It lies between the cheap (28 ms) and the expensive (530 ms) calls of the two sites. */
 const slowCostMs = 150;
-/** Lanes kept for quick calls at the most, of the whole. */
+/** Largest share of the lanes that is closed to slow calls; of two lanes or more, at least one may be. */
 const quickLaneShare = 0.25;
-/** Quick calls of late that tell how many lanes they need, and how many times that is kept for them, as they come in bursts. */
-const quickMemoryMs = 4_000;
+/**
+ * Lanes closed to slow calls are derived from the number of lanes that quick calls kept busy on average, with this time constant.
+ * `quickMargin` times as many are closed, since quick calls come in bursts.
+ */
+const quickAverageMs = 4_000;
 const quickMargin = 2;
 /**
- * A lane whose call failed rests, so that its daemon is not asked again while it is cut off: for twice as long after each
- * failure in a row, while another lane is sound. Where none is, the advisor itself may be away, and is asked as often as before.
+ * Back-off of a lane after a failed call, so that a daemon that is cut off is not used again at once. It doubles with each
+ * failure in a row, up to `maxLaneBackOffMs`, while another lane has no failures. Where all lanes have failed, the advisor itself
+ * may be unavailable, and the back-off does not grow.
  */
-const failedLaneRestMs = 500;
-const longestLaneRestMs = 4_000;
-/** A lane that failed is asked like any other after this time, since the first lanes are the near ones. */
+const laneBackOffMs = 500;
+const maxLaneBackOffMs = 4_000;
+/** Failures of a lane are forgotten after this time, so that the lanes listed first, which are near, are preferred again. */
 const forgetFailureMs = 30_000;
-/** A call may take this many times its expected cost, and this much more, before it counts as failed. */
-const patienceFactor = 2;
-const patienceMs = 400;
+/** The timeout of a call is `timeoutFactor` times its expected cost plus `timeoutMarginMs`. */
+const timeoutFactor = 2;
+const timeoutMarginMs = 400;
 /**
- * A call that takes this much longer than expected is given to another lane as well, and the first answer counts. A task may
- * stand for 3 s with room for it, and two lanes that hang one after the other would take longer than that to fail.
+ * A call that takes this much longer than expected is given to another lane as well, and the first answer counts. A task has to
+ * run within 3 s where capacity is free, and the timeouts of two hanging lanes, one after the other, would take longer.
  */
 const secondLaneAfterMs = 250;
-/** An order is given to so many lanes at the most, two of them at a time; then its step may name other workers. */
-const mostLanesAsked = 3;
-const mostLanesOpen = 2;
+/** Limits on the lanes that one call is given to, in total and at a time. If all fail, its step may name other workers. */
+const maxLanesAsked = 3;
+const maxLanesOpen = 2;
 
-/** A call that has waited for longer than this is also taken out of turn; most wait for some milliseconds. */
+/** A call that has waited for longer than this may be served before more urgent ones; most wait for some milliseconds. */
 const longWaitMs = 2_000;
-/** One call in this many may go to the one that has waited longest, so that urgent ones lose a quarter of the lanes at most. */
-const outOfTurnEvery = 4;
+/** One dispatch in this many may serve the longest waiting call, so that urgent calls lose at most a quarter of the lanes. */
+const longestWaitingEvery = 4;
 
-/** Lanes to keep for quick calls, which have kept so many busy of late. */
-const quickLanes = (lanes: number, busyOfLate: number): number => {
-    const most = lanes < 2 ? 0 : Math.max(1, Math.floor(lanes * quickLaneShare));
-    return Math.min(most, 1 + Math.ceil(quickMargin * busyOfLate));
+/** Number of lanes closed to slow calls, given the average number of lanes that quick calls keep busy. */
+const quickLanes = (lanes: number, averageBusy: number): number => {
+    const maxQuickLanes = lanes < 2 ? 0 : Math.max(1, Math.floor(lanes * quickLaneShare));
+    return Math.min(maxQuickLanes, 1 + Math.ceil(quickMargin * averageBusy));
 };
 
-const laneRestMs = (failuresInARow: number): number =>
-    Math.min(longestLaneRestMs, failedLaneRestMs * 2 ** (failuresInARow - 1));
+const backOffMs = (failuresInARow: number): number =>
+    Math.min(maxLaneBackOffMs, laneBackOffMs * 2 ** (failuresInARow - 1));
 
 /**
- * Makes the desk.
+ * Creates the dispatcher of a shard's calls to the advisor.
  *
  * @example
- * const desk = createAdviceDesk({ clock, log, meter, lanes: () => ["entry-1"], call });
+ * const dispatcher = createAdviceDispatcher({ clock, log, meter, lanes: () => ["entry-1"], call });
  */
 export const createAdviceDesk = ({ clock, log, meter, lanes, call }: AdviceDeskOptions): AdviceDesk => {
-    const queue: WaitingOrder[] = [];
-    /** Calls that were given to a lane so far. */
-    let taken = 0;
+    const queue: QueuedCall[] = [];
+    /** Number of calls that were given to a lane so far. */
+    let dispatched = 0;
+    /** Lanes with a call under way, and whether it is a slow one. */
     const busy = new Map<string, boolean>();
-    /** Time that quick calls have taken, of which the past counts less and less, as of a local time. */
-    let quickWork = { tookMs: 0, atMs: clock.monotonicMs() };
+    /** Exponentially decayed sum of the times that quick calls took, and the local time of its last update. */
+    let quickTime = { tookMs: 0, atMs: clock.monotonicMs() };
 
-    const noteQuick = (tookMs: number): void => {
+    const addQuickTime = (tookMs: number): void => {
         const nowMs = clock.monotonicMs();
-        const left = quickWork.tookMs * Math.exp((quickWork.atMs - nowMs) / quickMemoryMs);
-        quickWork = { tookMs: left + tookMs, atMs: nowMs };
+        const left = quickTime.tookMs * Math.exp((quickTime.atMs - nowMs) / quickAverageMs);
+        quickTime = { tookMs: left + tookMs, atMs: nowMs };
     };
 
-    const quickBusyOfLate = (): number => {
-        noteQuick(0);
-        return quickWork.tookMs / quickMemoryMs;
+    const averageQuickLanes = (): number => {
+        addQuickTime(0);
+        return quickTime.tookMs / quickAverageMs;
     };
     const failures = new Map<string, LaneFailures>();
     let closed = false;
@@ -129,11 +137,11 @@
         return known !== undefined && clock.monotonicMs() - known.newestAtMs < forgetFailureMs ? known : undefined;
     };
 
-    /** Those that did not fail first, in the order given; then the one whose failure is longest ago. */
+    /** Gives the first free lane without failures, else the one whose last failure is longest ago and whose back-off is over. */
     const freeLane = (): string | undefined => {
         const nowMs = clock.monotonicMs();
         const all = lanes();
-        const hasSound = all.some(lane => failuresOf(lane) === undefined);
+        const hasHealthy = all.some(lane => failuresOf(lane) === undefined);
         let best: string | undefined;
         let bestFailedAtMs = Infinity;
         for (const lane of all) {
@@ -144,8 +152,8 @@
             if (failed === undefined) {
                 return lane;
             }
-            const restMs = hasSound ? laneRestMs(failed.inARow) : failedLaneRestMs;
-            if (failed.newestAtMs + restMs <= nowMs && failed.newestAtMs < bestFailedAtMs) {
+            const delayMs = hasHealthy ? backOffMs(failed.inARow) : laneBackOffMs;
+            if (failed.newestAtMs + delayMs <= nowMs && failed.newestAtMs < bestFailedAtMs) {
                 best = lane;
                 bestFailedAtMs = failed.newestAtMs;
             }
@@ -153,98 +161,98 @@
         return best;
     };
 
-    const takeOrder = (): WaitingOrder | undefined => {
+    const dequeue = (): QueuedCall | undefined => {
         const slowBusy = [...busy.values()].filter(slow => slow).length;
         const all = lanes().length;
-        const slowAllowed = slowBusy < all - quickLanes(all, quickBusyOfLate());
-        const sinceMs = clock.monotonicMs() - longWaitMs;
-        const outOfTurn = taken % outOfTurnEvery === 0;
+        const slowAllowed = slowBusy < all - quickLanes(all, averageQuickLanes());
+        const longWaitSinceMs = clock.monotonicMs() - longWaitMs;
+        const servesLongest = dispatched % longestWaitingEvery === 0;
         let best = -1;
-        let again = -1;
-        for (const [index, order] of queue.entries()) {
-            if (order.costMs > slowCostMs && !slowAllowed) {
+        let firstRepeat = -1;
+        for (const [index, queuedCall] of queue.entries()) {
+            if (queuedCall.costMs > slowCostMs && !slowAllowed) {
                 continue;
             }
-            if (order.lanesOpen > 0) {
-                // Where the advisor is slow for all, second calls must not take the lanes of first ones.
-                again = again < 0 ? index : again;
+            if (queuedCall.lanesOpen > 0) {
+                // Repeats come last: where the advisor is slow for every call, they must not take the lanes of first attempts.
+                firstRepeat = firstRepeat < 0 ? index : firstRepeat;
                 continue;
             }
-            if (outOfTurn && order.askedAtMs < sinceMs) {
-                // The queue is in the order of asking, but for those that got no answer, so this one has waited longest.
+            if (servesLongest && queuedCall.askedAtMs < longWaitSinceMs) {
+                // The queue is in order of arrival, apart from repeated calls, so that this one has waited longest.
                 best = index;
                 break;
             }
-            if (best < 0 || order.priority < (queue[best]?.priority ?? 0)) {
+            if (best < 0 || queuedCall.priority < (queue[best]?.priority ?? 0)) {
                 best = index;
             }
         }
-        best = best < 0 ? again : best;
+        best = best < 0 ? firstRepeat : best;
         if (best < 0) {
             return undefined;
         }
-        taken += 1;
+        dispatched += 1;
         return queue.splice(best, 1)[0];
     };
 
-    const noteFailure = (lane: string): void => {
+    const recordFailure = (lane: string): void => {
         const inARow = (failuresOf(lane)?.inARow ?? 0) + 1;
         failures.set(lane, { inARow, newestAtMs: clock.monotonicMs() });
-        // Whether other lanes are sound, and so how long it rests, may change meanwhile.
-        for (const restMs of new Set([failedLaneRestMs, laneRestMs(inARow)])) {
-            clock.setTimer(restMs, wake);
+        // The back-off depends on whether other lanes have failed, which may change, so dispatch after either time.
+        for (const delayMs of new Set([laneBackOffMs, backOffMs(inARow)])) {
+            clock.setTimer(delayMs, wake);
         }
     };
 
-    const settle = (order: WaitingOrder, tell: () => void): void => {
-        if (order.settled) {
+    const settle = (queuedCall: QueuedCall, report: () => void): void => {
+        if (queuedCall.settled) {
             return;
         }
-        order.settled = true;
-        const index = queue.indexOf(order);
+        queuedCall.settled = true;
+        const index = queue.indexOf(queuedCall);
         if (index >= 0) {
             queue.splice(index, 1);
         }
         if (!closed) {
-            tell();
+            report();
         }
     };
 
-    /** Before all others of its priority: it has waited for longer. */
-    const askAnother = (order: WaitingOrder): void => {
-        const isEnough = order.lanesAsked >= mostLanesAsked || order.lanesOpen >= mostLanesOpen;
-        if (closed || order.settled || isEnough || queue.includes(order)) {
+    /** Queues a call for one more lane, before all others of its priority, since it has waited longer. */
+    const queueRepeat = (queuedCall: QueuedCall): void => {
+        const isEnough = queuedCall.lanesAsked >= maxLanesAsked || queuedCall.lanesOpen >= maxLanesOpen;
+        if (closed || queuedCall.settled || isEnough || queue.includes(queuedCall)) {
             return;
         }
-        queue.unshift(order);
+        queue.unshift(queuedCall);
         wake();
     };
 
-    const serve = async (lane: string, order: WaitingOrder): Promise<void> => {
-        const { stepName, workerIds, costMs, askedAtMs } = order;
+    const runCall = async (lane: string, queuedCall: QueuedCall): Promise<void> => {
+        const { stepName, workerIds, costMs, askedAtMs } = queuedCall;
         const startedAtMs = clock.monotonicMs();
-        if (order.lanesAsked === 0) {
+        if (queuedCall.lanesAsked === 0) {
             meter.record("adviceQueueMs", startedAtMs - askedAtMs);
         }
         else {
             meter.count("adviceCallsAgain");
         }
-        order.lanesAsked += 1;
-        order.lanesOpen += 1;
+        queuedCall.lanesAsked += 1;
+        queuedCall.lanesOpen += 1;
         busy.set(lane, costMs > slowCostMs);
-        clock.setTimer(costMs + secondLaneAfterMs, () => askAnother(order));
+        clock.setTimer(costMs + secondLaneAfterMs, () => queueRepeat(queuedCall));
         try {
             const answer = await call(lane, {
                 stepName,
                 workerIds,
-                timeoutMs: Math.ceil(patienceFactor * costMs + patienceMs),
+                timeoutMs: Math.ceil(timeoutFactor * costMs + timeoutMarginMs),
             });
             meter.record("adviceMs", clock.monotonicMs() - startedAtMs);
             if (costMs <= slowCostMs) {
-                noteQuick(clock.monotonicMs() - startedAtMs);
+                addQuickTime(clock.monotonicMs() - startedAtMs);
             }
             failures.delete(lane);
-            settle(order, () => order.onAnswer(answer));
+            settle(queuedCall, () => queuedCall.onAnswer(answer));
         }
         catch (error) {
             const { kind, message } = failureOf(error);
@@ -255,13 +263,13 @@
                 message,
                 tookMs: clock.monotonicMs() - startedAtMs,
             });
-            noteFailure(lane);
-            if (order.lanesOpen === 1 && !queue.includes(order)) {
-                settle(order, order.onFailure);
+            recordFailure(lane);
+            if (queuedCall.lanesOpen === 1 && !queue.includes(queuedCall)) {
+                settle(queuedCall, queuedCall.onFailure);
             }
         }
         finally {
-            order.lanesOpen -= 1;
+            queuedCall.lanesOpen -= 1;
             busy.delete(lane);
         }
         wake();
@@ -273,23 +281,23 @@
             if (lane === undefined) {
                 return;
             }
-            const order = takeOrder();
-            if (order === undefined) {
+            const queuedCall = dequeue();
+            if (queuedCall === undefined) {
                 return;
             }
-            if (order.wanted()) {
-                void serve(lane, order);
+            if (queuedCall.wanted()) {
+                void runCall(lane, queuedCall);
             }
             else {
-                settle(order, order.onFailure);
+                settle(queuedCall, queuedCall.onFailure);
             }
         }
     };
 
     return {
-        ask: order => {
+        ask: queuedCall => {
             queue.push({
-                ...order,
+                ...queuedCall,
                 askedAtMs: clock.monotonicMs(),
                 lanesAsked: 0,
                 lanesOpen: 0,
--- a/packages/puffinarch/src/core/shard/pacer.ts
+++ b/packages/puffinarch/src/core/shard/pacer.ts
@@ -1,21 +1,25 @@
-/** Paces tasks that fill, so that the tasks that serve beside them keep their latency objective. */
+/** Throttles best-effort tasks (`fills`), so that tasks with a latency objective on the same worker meet it. */
 
 import type { Clock, Log } from "../../types/ports.js";
 import { runPhases, type ShardRun } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** Shares of the objective: at the first, tasks that fill are halved; over the second, halted; below the last, raised. */
+/**
+ * Thresholds on the worst ratio of latency to its objective on a worker: from `slowAt` on, the processor shares of best-effort
+ * tasks are halved; from `haltAt` on, they are set to 0; below `raiseBelow` they are raised.
+ */
 const slowAt = 0.75;
 const haltAt = 0.95;
 const raiseBelow = 0.55;
 const fullPercent = 100;
 const raiseStepPercent = 20;
-const leastPercent = 10;
-/** The figure covers half a second and a pace takes effect after 100 ms. */
-const settleMs = 700;
+const minPercent = 10;
+/** Wait after a change before a share is raised: the reported latency covers 500 ms and a change takes effect after 100 ms. */
+const raiseDelayMs = 700;
 
-/** Decides on paces after each look. */
+/** Adjusts the processor shares of best-effort tasks. */
 export interface Pacer {
+    /** Reviews a worker's runs after it was polled; calls `pace` for each run whose share, in percent, changes. */
     review(worker: ShardWorker, pace: (run: ShardRun, percent: number) => void): void;
 }
 
@@ -24,13 +28,13 @@
         return 0;
     }
     if (worstShare >= slowAt) {
-        return current / 2 < leastPercent ? 0 : Math.round(current / 2);
+        return current / 2 < minPercent ? 0 : Math.round(current / 2);
     }
     return worstShare < raiseBelow ? Math.min(fullPercent, current + raiseStepPercent) : current;
 };
 
 /**
- * Makes the pacer of a shard.
+ * Creates the pacer of a shard.
  *
  * @example
  * const pacer = createPacer({ clock, log });
@@ -53,11 +57,11 @@
                 }
             }
             const nowMs = clock.monotonicMs();
-            const settled = nowMs - (changedAtMs.get(worker.workerId) ?? -settleMs) >= settleMs;
+            const settled = nowMs - (changedAtMs.get(worker.workerId) ?? -raiseDelayMs) >= raiseDelayMs;
             for (const run of filling) {
                 const percent = nextPercent(run.percent, worstShare);
-                const raise = percent > run.percent;
-                if (percent === run.percent || (raise && !settled)) {
+                const isRaise = percent > run.percent;
+                if (percent === run.percent || (isRaise && !settled)) {
                     continue;
                 }
                 changedAtMs.set(worker.workerId, nowMs);
