--- a/packages/puffinarch/src/core/shard/avoidance.ts
+++ b/packages/puffinarch/src/core/shard/avoidance.ts
@@ -1,63 +1,64 @@
 /**
- * Which workers a task keeps off since they failed it. Another worker may run it well; but what a task waits for here may
- * never come, so that each wait has an end that rests on nothing but time and what is known.
+ * Workers that a task avoids because it failed on them. Another worker may run it well, but may also never become available,
+ * so that each wait for one ends after a fixed time.
  */
 
 import { add, type Resources } from "../../types/resources.js";
-import { countRuns, isOfKind, mightSuit, placesIn, placesNeeded, suits } from "./eligible.js";
+import { countRuns, hasServiceAndLabel, isEligible, mightBecomeEligible, placesIn, placesNeeded } from "./eligible.js";
 import { estimatedEndMs, hasOneAttempt, isWaiting, type ShardStep, type ShardTask } from "./jobBook.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
-/** A worker that failed a task this lately is chosen for it only where no other one has room. */
-const prefersOthersMs = 15_000;
+/** A worker that failed a task within this time is chosen for it only where no other one has capacity. */
+const preferOthersMs = 15_000;
 /**
- * A task waits this long for others rather than go back to a worker that failed it: they may stay full, shrunk or silent, or
- * hold only some members of its gang. Users count work that does not run for 3 s though there is room as lost; what is left
- * of these pays for a pass and the start.
+ * How long a task avoids a worker that failed it and waits for others, which may stay full, shrunk or unresponsive, or have
+ * capacity for only part of its gang. Users count work as lost that does not run for 3 s although capacity is free; the
+ * remaining second covers a pass and the start.
  */
-const keepsOffMs = 2_000;
+const avoidMs = 2_000;
 /**
- * The last attempt waits for as long as disruptions of workers last, 4 to 7 s, where other workers are known to have room by
- * then and half of all room is in use, so that such a wait is usual. What several workers failed is likely to be the cause itself.
+ * How long the last attempt of a task avoids the worker that failed it: disruptions of workers last 4 to 7 s. This applies only
+ * where other workers are expected to have capacity by then and at least `minShareInUse` of all capacity is in use, so that such a
+ * wait is usual. It does not apply after failures on several workers, since the task itself is then the likely cause.
  */
-const lastKeepsOffMs = 7_000;
-const busyShare = 0.5;
+const lastAttemptAvoidMs = 7_000;
+const minShareInUse = 0.5;
 
-/** What decides whether a task keeps off workers on which it failed. */
+/** Workers and time on which the avoidance depends, and workers to leave out. */
 export interface AvoidanceLimits {
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly nowMs: number;
     readonly rack?: string | undefined;
-    /** Workers that are out of the question for other reasons. */
+    /** Workers that are excluded for other reasons. */
     readonly except?: ReadonlySet<string> | undefined;
 }
 
 /**
- * Tells whether a task failed on a worker so recently that it runs elsewhere where there is room.
+ * Tells whether a task failed on a worker so recently that other workers with capacity are preferred.
  *
  * @example
- * failedLately(task, "i-7f3a91c2", clock.monotonicMs());
+ * failedRecently(task, "i-7f3a91c2", clock.monotonicMs());
  */
 export const failedLately = ({ failedOn }: ShardTask, workerId: string, nowMs: number): boolean =>
-    nowMs - (failedOn.get(workerId) ?? -Infinity) < prefersOthersMs;
+    nowMs - (failedOn.get(workerId) ?? -Infinity) < preferOthersMs;
 
-const isAllowed = ({ workerId }: ShardWorker, { occurrence, advice }: ShardStep): boolean =>
+const mightBeApproved = ({ workerId }: ShardWorker, { occurrence, advice }: ShardStep): boolean =>
     occurrence.job.queue.advice === undefined || advice.good.has(workerId) || !advice.asked.has(workerId);
 
 /**
- * Whether the step may run there, now or once the worker answers again, or nobody has asked yet whether it may. A worker
- * that stays silent for longer than its leases last is not waited for.
+ * Whether the step might run on a worker now, or once the worker answers again. Workers about which the advisor was not asked
+ * yet count; an unresponsive worker counts until its leases have expired.
  */
 const mightRun = (worker: ShardWorker, step: ShardStep, { nowMs, rack }: AvoidanceLimits): boolean =>
-    mightSuit(worker, step) && !worker.entry.draining && !worker.cordoned
+    mightBecomeEligible(worker, step) && !worker.entry.draining && !worker.cordoned
     && (isOpen(worker, nowMs) || worker.unlistedAtMs === undefined && nowMs <= worker.horizonMs)
-    && (rack === undefined || worker.entry.rack === rack) && isAllowed(worker, step);
+    && (rack === undefined || worker.entry.rack === rack) && mightBeApproved(worker, step);
 
 const shareInUse = (step: ShardStep, { workers }: AvoidanceLimits): number => {
     let inUse = 0;
     let capacity = 0;
     for (const worker of workers.values()) {
-        if (isOfKind(worker, step)) {
+        if (hasServiceAndLabel(worker, step)) {
             inUse += worker.held.cpuMillis;
             capacity += worker.entry.capacity.cpuMillis;
         }
@@ -65,23 +66,23 @@
     return inUse / Math.max(1, capacity);
 };
 
-const roomBy = (worker: ShardWorker, byMs: number, nowMs: number): Resources =>
+const capacityBy = (worker: ShardWorker, byMs: number, nowMs: number): Resources =>
     [...worker.runs.values()].filter(run => estimatedEndMs(run, nowMs) <= byMs)
         .reduce((room, run) => add(room, run.held), roomOf(worker));
 
-/** Whether others have room by then for all that has to start at once, as far as the estimates of their runs tell. */
-const hasRoomBy = (step: ShardStep, others: readonly ShardWorker[], byMs: number, nowMs: number): boolean => {
+/** Whether other workers are expected to have capacity by `byMs` for all tasks that must start together. */
+const hasCapacityBy = (step: ShardStep, others: readonly ShardWorker[], byMs: number, nowMs: number): boolean => {
     const runs = countRuns(step);
     let needed = placesNeeded(step);
     for (const worker of others) {
-        if (isOpen(worker, nowMs) && suits(worker, step)) {
-            needed -= placesIn(roomBy(worker, byMs, nowMs), step, runs.get(worker.workerId) ?? 0);
+        if (isOpen(worker, nowMs) && isEligible(worker, step)) {
+            needed -= placesIn(capacityBy(worker, byMs, nowMs), step, runs.get(worker.workerId) ?? 0);
         }
     }
     return needed <= 0;
 };
 
-/** Workers that failed the task this lately, with the time, without those that have ended well what they began since. */
+/** Workers that failed the task within a time, with the local time of failure, less those that have since completed a later run. */
 const failedWithin = (
     { failedOn }: ShardTask,
     withinMs: number,
@@ -94,7 +95,7 @@
         }),
     );
 
-/** Workers that might run the task and that it does not keep off. */
+/** Workers that might run the task, without those that failed it or are excluded. */
 const othersFor = (
     { step }: ShardTask,
     failed: ReadonlyMap<string, number>,
@@ -108,8 +109,8 @@
 const none: ReadonlyMap<string, number> = new Map();
 
 /**
- * Gives the workers that a task keeps off now, each with the local time until which it does at the most; empty where no
- * other worker might run it.
+ * Gives the workers that a task avoids now, each with the latest local time until which it does; empty where no other worker
+ * might run it.
  *
  * @example
  * avoidedBy(task, { workers, nowMs: clock.monotonicMs() }).has("i-7f3a91c2");
@@ -121,26 +122,26 @@
     const { step } = task;
     const { nowMs } = limits;
     if (hasOneAttempt(task)) {
-        const failed = failedWithin(task, lastKeepsOffMs, limits);
-        const untilMs = Math.max(...failed.values()) + lastKeepsOffMs;
+        const failed = failedWithin(task, lastAttemptAvoidMs, limits);
+        const untilMs = Math.max(...failed.values()) + lastAttemptAvoidMs;
         const others = othersFor(task, failed, limits);
         if (
-            failed.size === 1 && others.length > 0 && shareInUse(step, limits) >= busyShare
-            && hasRoomBy(step, others, untilMs, nowMs)
+            failed.size === 1 && others.length > 0 && shareInUse(step, limits) >= minShareInUse
+            && hasCapacityBy(step, others, untilMs, nowMs)
         ) {
-            return new Map([...failed].map(([workerId, atMs]) => [workerId, atMs + lastKeepsOffMs]));
+            return new Map([...failed].map(([workerId, atMs]) => [workerId, atMs + lastAttemptAvoidMs]));
         }
     }
-    const failed = failedWithin(task, keepsOffMs, limits);
+    const failed = failedWithin(task, avoidMs, limits);
     if (failed.size === 0 || othersFor(task, failed, limits).length === 0) {
         return none;
     }
-    return new Map([...failed].map(([workerId, atMs]) => [workerId, atMs + keepsOffMs]));
+    return new Map([...failed].map(([workerId, atMs]) => [workerId, atMs + avoidMs]));
 };
 
 /**
- * Gives the workers to which no waiting task of a step would go, since each of them failed there and may still run
- * elsewhere. Such a worker is neither asked about nor kept for the step: others would find no room there.
+ * Gives the workers that all waiting tasks of a step avoid. No ticket is requested and no capacity reserved there for the
+ * step, since a reservation would only keep other steps out.
  *
  * @example
  * avoidedByAll(step, { workers, nowMs: clock.monotonicMs() }).has("i-7f3a91c2");
@@ -161,7 +162,7 @@
 };
 
 /**
- * Names the workers for the sake of which a task keeps off those that failed it.
+ * Gives the workers that a task might run on instead of those that it avoids.
  *
  * @example
  * const [awaited] = awaitedBy(task, { workers, nowMs: clock.monotonicMs() });
--- a/packages/puffinarch/src/core/shard/blockedSteps.ts
+++ b/packages/puffinarch/src/core/shard/blockedSteps.ts
@@ -1,44 +1,44 @@
 /**
- * Steps that are blocked: workers have room for them, and it is kept for others, the workers rest or have just failed the
- * task, or a ticket is on its way. Each of these waits has its reason, and each ends in time only if all are counted from
- * the same moment on.
+ * Steps that are blocked: workers have free capacity for them, but it is reserved for other steps, the workers are resting
+ * (no new work for a while after failures) or have just failed the task, or a ticket is missing. These waits may follow one
+ * another, so all are counted from the same moment; counted separately, they could add up to more than a job may wait.
  */
 
-import { countRuns, placesIn, placesNeeded, suits } from "./eligible.js";
+import { countRuns, isEligible, placesIn, placesNeeded } from "./eligible.js";
 import type { ShardStep, ShardTask } from "./jobBook.js";
 import { isKeptFrom } from "./trials.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
 /**
- * A step waits so long for kept room and for workers at rest. A job of which nothing runs for 3 s though there is room for it
- * counts as lost; what is left is for the pass and the order that start it, and for a call to the advisor that is late.
+ * How long a step waits for reserved capacity and for resting workers. A job of which nothing runs for 3 s although capacity is
+ * free counts as lost; the remaining second covers the pass, the start order and a late call to the advisor.
  */
-export const holdPatienceMs = 2_000;
+export const maxBlockedMs = 2_000;
 
-/** What is seen in a pass. */
-interface Sight {
+/** The workers and the local time of a pass. */
+interface PassSnapshot {
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly nowMs: number;
 }
 
-const mayRunOn = (worker: ShardWorker, step: ShardStep, { workers, nowMs }: Sight): boolean => {
+const isUsable = (worker: ShardWorker, step: ShardStep, { workers, nowMs }: PassSnapshot): boolean => {
     const { job } = step.occurrence;
     return (job.queue.advice === undefined || step.advice.good.has(worker.workerId))
-        && isOpen(worker, nowMs, Infinity) && suits(worker, step) && !isKeptFrom(worker, job, { workers, nowMs });
+        && isOpen(worker, nowMs, Infinity) && isEligible(worker, step) && !isKeptFrom(worker, job, { workers, nowMs });
 };
 
 /**
- * Tells whether workers have room for all of a step that has to start at once, were none kept for others and none at rest.
+ * Tells whether workers have capacity for all tasks of a step that must start together, ignoring reservations and rests.
  *
  * @example
- * noteBlocked(step, isBlocked(step, { workers, nowMs }), nowMs);
+ * recordBlocked(step, isBlocked(step, { workers, nowMs }), nowMs);
  */
-export const isBlocked = (step: ShardStep, sight: Sight): boolean => {
+export const isBlocked = (step: ShardStep, snapshot: PassSnapshot): boolean => {
     const runs = countRuns(step);
     let needed = placesNeeded(step);
-    for (const worker of sight.workers.values()) {
+    for (const worker of snapshot.workers.values()) {
         const places = placesIn(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
-        if (places > 0 && mayRunOn(worker, step, sight)) {
+        if (places > 0 && isUsable(worker, step, snapshot)) {
             needed -= places;
         }
         if (needed <= 0) {
@@ -49,14 +49,14 @@
 };
 
 /**
- * Notes whether a step is blocked now. Its wait goes on where others have taken the room for a moment: jobs that fail by themselves
- * would else begin it anew with each of their attempts.
+ * Records whether a step is blocked now. Its wait resumes after other jobs took the capacity for a moment: otherwise each
+ * attempt of a job that always fails would restart it.
  *
  * @example
- * noteBlocked(step, isBlocked(step, { workers, nowMs }), nowMs);
+ * recordBlocked(step, isBlocked(step, { workers, nowMs }), nowMs);
  */
-export const noteBlocked = (step: ShardStep, isNow: boolean, nowMs: number): void => {
-    if (isNow) {
+export const recordBlocked = (step: ShardStep, blocked: boolean, nowMs: number): void => {
+    if (blocked) {
         step.blockedAtMs ??= nowMs - step.blockedBeforeMs;
         return;
     }
@@ -67,32 +67,32 @@
 };
 
 /**
- * Tells whether a step has been blocked for long, or will have been at the given time. One that lasts never ends before
- * those for which room is kept, so that it counts from its turn on.
+ * Tells whether a step has been blocked for long, or will have been at the given time. A long-running step never ends before
+ * reserved capacity is needed, so that its time counts from when it became ready.
  *
  * @example
- * hasWaitedLong(step, clock.monotonicMs()); // false
+ * isBlockedLong(step, clock.monotonicMs()); // false
  */
 export const hasWaitedLong = ({ spec, readyAtMs, blockedAtMs }: ShardStep, atMs: number): boolean =>
-    atMs - (spec.longRunning ? readyAtMs : blockedAtMs ?? atMs) >= holdPatienceMs;
+    atMs - (spec.longRunning ? readyAtMs : blockedAtMs ?? atMs) >= maxBlockedMs;
 
 /**
- * Ends the patience of a step whose task waited for a start without an answer: it has stood for seconds already.
+ * Makes a step count as blocked for long, since a task of it has already waited for seconds for a start without an answer.
  *
  * @example
- * endPatience(run.task.step, clock.monotonicMs());
+ * markBlockedLong(run.task.step, clock.monotonicMs());
  */
 export const endPatience = (step: ShardStep, nowMs: number): void => {
-    step.blockedAtMs = Math.min(step.blockedAtMs ?? nowMs, nowMs - holdPatienceMs);
+    step.blockedAtMs = Math.min(step.blockedAtMs ?? nowMs, nowMs - maxBlockedMs);
 };
 
 /**
- * Tells whether a task may go to a worker at rest. It waits anew after each failure, so that a worker which fails everything
- * does not use up its attempts at once.
+ * Tells whether a task may run on a resting worker. Its wait restarts after each failure, so that a worker that fails every
+ * run does not use up its attempts at once.
  *
  * @example
- * ignoresRests(task, clock.monotonicMs()); // false
+ * mayUseRestingWorkers(task, clock.monotonicMs()); // false
  */
 export const ignoresRests = ({ step, failedOn }: ShardTask, atMs: number): boolean =>
     step.blockedAtMs !== undefined
-    && atMs - Math.max(step.blockedAtMs, ...failedOn.values()) >= holdPatienceMs;
+    && atMs - Math.max(step.blockedAtMs, ...failedOn.values()) >= maxBlockedMs;
--- a/packages/puffinarch/src/core/shard/capView.ts
+++ b/packages/puffinarch/src/core/shard/capView.ts
@@ -1,59 +1,62 @@
-/** What the caps of organisations leave to each step during one pass, beside what is meant for the steps before it. */
+/** Limits the starts of each step in one pass by the cap of its organisation, less what is reserved for more urgent steps. */
 
 import { add, noResources, type Resources, scale } from "../../types/resources.js";
 import { type Account, tasksUnderCap, usesHalfOfCap } from "./accounts.js";
-import { holdPatienceMs } from "./blockedSteps.js";
+import { maxBlockedMs } from "./blockedSteps.js";
 import { heldBy, type ShardStep, type ShardTask } from "./jobBook.js";
 
-/** Gangs for which a cap is kept although under half of it is used, and the local time since which that is so. */
+/** Gangs for which part of a cap is reserved although less than half of it is used, and the local time since which this is so. */
 export type CapWaits = WeakMap<ShardStep, number>;
 
-/** Caps as one pass sees them. */
+/** Caps and what is reserved of them during one pass. */
 export interface CapView {
     /**
-     * The waiting tasks that the cap of their organisation lets start, of a gang all or none. The cap is kept for a gang that does not fit,
-     * since the organisation's later steps would else take each piece of it that falls free.
+     * Gives the waiting tasks that the cap of their organisation allows to start, of a gang all or none. For a gang that does not
+     * fit, its part of the cap is reserved, since later steps of the organisation would otherwise take each piece that becomes free.
      */
     allowed(step: ShardStep, waiting: readonly ShardTask[]): readonly ShardTask[];
-    /** Keeps the cap for so many tasks of a step that wait for room, from the steps that follow. */
+    /** Reserves the cap for a number of a step's tasks that wait for capacity, so that later steps of the pass cannot use it. */
     keep(step: ShardStep, count: number): void;
 }
 
-/** A job counts as lost that stands for 3 s while its organisation uses less than half of its cap, so that others wait for less. */
-const mayKeep = (step: ShardStep, waits: CapWaits, nowMs: number): boolean => {
+/**
+ * Whether the cap may be reserved for a gang now. Jobs that do not run for 3 s while their organisation uses less than half of
+ * its cap count as lost, so that below half other steps wait for less than that.
+ */
+const mayReserve = (step: ShardStep, waits: CapWaits, nowMs: number): boolean => {
     if (usesHalfOfCap(step.occurrence.job.account)) {
         waits.delete(step);
         return true;
     }
     const sinceMs = waits.get(step) ?? nowMs;
     waits.set(step, sinceMs);
-    return nowMs - sinceMs < holdPatienceMs;
+    return nowMs - sinceMs < maxBlockedMs;
 };
 
 /**
- * Makes the view of one pass; the waits outlast it.
+ * Creates the view of one pass; `waits` is kept from pass to pass.
  *
  * @example
  * const caps = createCapView(clock.monotonicMs(), waits);
  * const startable = caps.allowed(step, step.tasks.filter(isWaiting));
  */
 export const createCapView = (nowMs: number, waits: CapWaits): CapView => {
-    const kept = new Map<Account, Resources>();
+    const reserved = new Map<Account, Resources>();
 
     const keep: CapView["keep"] = ({ spec, occurrence }, count) => {
         const { account } = occurrence.job;
-        kept.set(account, add(kept.get(account) ?? noResources, scale(heldBy(spec), count)));
+        reserved.set(account, add(reserved.get(account) ?? noResources, scale(heldBy(spec), count)));
     };
 
     return {
         keep,
         allowed: (step, waiting) => {
             const { account } = step.occurrence.job;
-            const count = tasksUnderCap(account, heldBy(step.spec), kept.get(account));
+            const count = tasksUnderCap(account, heldBy(step.spec), reserved.get(account));
             if (!step.spec.gang || count >= waiting.length) {
                 return waiting.slice(0, count);
             }
-            if (mayKeep(step, waits, nowMs)) {
+            if (mayReserve(step, waits, nowMs)) {
                 keep(step, waiting.length);
             }
             return [];
--- a/packages/puffinarch/src/core/shard/chooseWorker.ts
+++ b/packages/puffinarch/src/core/shard/chooseWorker.ts
@@ -1,36 +1,36 @@
-/** Which worker takes a task: what must hold, and what is better. */
+/** Chooses the worker for a task: filters workers by hard requirements, then scores the remaining ones. */
 
 import { fits, type Resources } from "../../types/resources.js";
 import type { Step } from "../../types/work.js";
 import { avoidedBy, failedLately } from "./avoidance.js";
 import { ignoresRests } from "./blockedSteps.js";
-import { allowsAnother, countRuns, suits, ticketFor } from "./eligible.js";
+import { allowsAnother, countRuns, isEligible, ticketFor } from "./eligible.js";
 import { heldBy, type ShardStep, type ShardTask } from "./jobBook.js";
 import type { RoomView } from "./roomView.js";
 import { allowsTrial, companyOf, isKeptFrom, isSuspect } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
-/** A worker with its room for a task, and what the task takes of it. */
+/** Capacity of a worker, what of it a step may use, and what a task would hold. */
 interface Offer {
     readonly capacity: Resources;
     readonly room: Resources;
     readonly held: Resources;
 }
 
-/** Share of processors that would be free after the task; workers with much room first spreads the harm of a loss. */
+/** Share of processors left free after the task. Preferring the emptiest worker means that the loss of one harms few tasks. */
 const spareShare = ({ capacity, room, held }: Offer): number =>
     (room.cpuMillis - held.cpuMillis) / Math.max(1, capacity.cpuMillis);
 
-/** Outweighs all that speaks for a worker near the caller or with others of the step. */
+/** Outweighs the bonuses for workers near the caller and for workers with other tasks of the step. */
 const acceleratorWeight = 2;
 
-/** What speaks for a worker by how full it would be: a higher value is better. */
+/** Packing policies: each scores a worker by how full it would be; higher is better. */
 export const packings = {
-    /** The emptiest by processors. */
+    /** Prefers the worker with the largest share of free processors. */
     spread: spareShare,
     /**
-     * Tasks that need accelerators go where the fewest are left, so that whole workers stay free for those that need all
-     * of one; tasks that need none keep off workers that have some.
+     * Places tasks with accelerators where the fewest accelerators remain, so that whole workers stay free for tasks that
+     * need all of one, and keeps other tasks off workers with accelerators.
      */
     scarcest: (offer: Offer): number => {
         const { capacity, room, held } = offer;
@@ -41,37 +41,41 @@
         return held.accelerators === 0 ? spareShare(offer) - acceleratorWeight : acceleratorWeight * (1 - left);
     },
 } as const;
-/** Name of a way to pack workers. */
+/** Name of a packing policy. */
 export type Packing = keyof typeof packings;
 
 /**
- * The loss of a worker or a data centre harms every job with a task there, so a step's tasks go together and near the
- * caller: with six tasks spread over 33 workers, losing two of them harms 3 jobs in 10, else 1 in 16.
+ * The loss of a worker or a data centre harms every job with a task there, so the tasks of a step are placed together and
+ * near the caller: with six tasks per job spread over 33 workers, the loss of two workers harms 3 jobs in 10; with them
+ * together, 1 in 16.
  */
 const togetherBonus = 0.6;
 const nearCallerBonus = 0.5;
-/** Preferences outweigh the spread: a data rack saves half the run time, a worker that failed others may do so again. */
+/** Outweigh the spread over workers: a rack near the data halves the run time, and a worker with failures is likely to fail again. */
 const dataRackBonus = 1;
-const streakPenalty = 0.5;
-/** More than all else: a worker at rest takes a task only where no other does. */
-const restPenalty = 1_000;
-/** Tasks that last and take kept room go where others of them do, so that it is lost to the fewest workers. */
-const keptRoomPenalty = 0.6;
-/** Outweighs all that speaks for a worker: one that failed the task is taken only where no other has room. */
-const failedPenalty = 100;
-/** Tasks that fill and tasks that serve disturb each other. */
-const disturbancePenalty = 2;
-
-/** What runs beside a task that crashes its worker is lost with it, so such tasks go where little runs, and others elsewhere. */
-const companyPenalty = 2;
-
-const hasServing = (worker: ShardWorker): boolean =>
+const failureStreakPenalty = 0.5;
+/** Larger than all other scores together: a resting worker is chosen only where no other can take the task. */
+const restingPenalty = 1_000;
+/** Long-running tasks that take reserved capacity are placed together, so that few workers lose reserved capacity permanently. */
+const reservedCapacityPenalty = 0.6;
+/** Outweighs every bonus: a worker that failed the task recently is chosen only where no other has capacity. */
+const recentFailurePenalty = 100;
+/** Best-effort tasks (`fills`) and tasks with a latency objective slow each other down. */
+const interferencePenalty = 2;
+
+/**
+ * A task that crashes its worker takes the other runs there with it, so suspect tasks are placed where few other runs are,
+ * and other tasks away from suspect ones.
+ */
+const crashExposurePenalty = 2;
+
+const hasLatencySensitive = (worker: ShardWorker): boolean =>
     [...worker.runs.values()].some(run => run.task.step.spec.latencyObjectiveMs > 0);
-const hasFilling = (worker: ShardWorker): boolean => [...worker.runs.values()].some(run => run.task.step.spec.fills);
+const hasBestEffort = (worker: ShardWorker): boolean => [...worker.runs.values()].some(run => run.task.step.spec.fills);
 
-/** What speaks for a worker whatever else of the step runs there. */
+/** The part of a worker's score that does not depend on the step's other runs there. */
 const fixedScore = ({ entry, failuresInARow }: ShardWorker, { spec, occurrence }: ShardStep): number => {
-    let value = -streakPenalty * failuresInARow;
+    let value = -failureStreakPenalty * failuresInARow;
     if (spec.dataRack !== "" && entry.rack === spec.dataRack) {
         value += dataRackBonus;
     }
@@ -81,23 +85,23 @@
     return value;
 };
 
-const disturbance = (worker: ShardWorker, { fills, latencyObjectiveMs }: Step): number => {
-    const disturbs = fills && hasServing(worker) || latencyObjectiveMs > 0 && hasFilling(worker);
-    return disturbs ? disturbancePenalty : 0;
+const interferenceOf = (worker: ShardWorker, { fills, latencyObjectiveMs }: Step): number => {
+    const interferes = fills && hasLatencySensitive(worker) || latencyObjectiveMs > 0 && hasBestEffort(worker);
+    return interferes ? interferencePenalty : 0;
 };
 
-/** A worker that may run the step, with what stays as it is while the step's tasks are placed one after the other. */
+/** A worker that may run the step, with values computed once for all of the step's tasks, and a count of its runs there. */
 interface Candidate {
     readonly worker: ShardWorker;
     readonly fixed: number;
-    /** False while it rests. */
+    /** False while the worker is resting, that is, gets no new work for a while after failures. */
     readonly open: boolean;
     readonly hasTicket: boolean;
-    /** Runs of the step on it. */
+    /** Live runs of the step on the worker. */
     runs: number;
 }
 
-/** What limits a choice. */
+/** Time, capacity and policy of a choice. */
 export interface ChoiceLimits {
     readonly nowMs: number;
     readonly view: RoomView;
@@ -108,14 +112,14 @@
 
 /** Chooses workers for the tasks of one step at one moment. */
 export interface Chooser {
-    /** A worker with room for the task now; undefined where there is none. */
+    /** Gives the best worker with capacity for the task, none of `except`; undefined where there is none. */
     choose(task: ShardTask, except?: ReadonlySet<string>): ShardWorker | undefined;
-    /** A task of the step was placed there. */
-    took(worker: ShardWorker): void;
+    /** Records that a task of the step was placed on the worker. */
+    recordPlacement(worker: ShardWorker): void;
 }
 
-/** Workers that may run the step: those that the advisor allows, where it is asked, else all. */
-const mayRunOn = function*(step: ShardStep, workers: ReadonlyMap<string, ShardWorker>): Generator<ShardWorker> {
+/** Workers that may run the step: those that the advisor has approved where the queue uses it, else all. */
+const approvedWorkers = function*(step: ShardStep, workers: ReadonlyMap<string, ShardWorker>): Generator<ShardWorker> {
     if (step.occurrence.job.queue.advice === undefined) {
         yield* workers.values();
         return;
@@ -129,21 +133,21 @@
 };
 
 /**
- * Workers that may run the step and take work now, whether they have room or not.
+ * Lists the workers that may run the step and accept work now, whether or not they have free capacity.
  *
  * @example
- * const candidates = openFor(step, workers, clock.monotonicMs());
+ * const candidates = openWorkersFor(step, workers, clock.monotonicMs());
  */
-export const openFor = (
+export const openWorkersFor = (
     step: ShardStep,
     workers: ReadonlyMap<string, ShardWorker>,
     nowMs: number,
 ): readonly ShardWorker[] =>
-    [...mayRunOn(step, workers)].filter(worker => isOpen(worker, nowMs) && suits(worker, step));
+    [...approvedWorkers(step, workers)].filter(worker => isOpen(worker, nowMs) && isEligible(worker, step));
 
 /**
- * Prepares the choice of workers for a step. A task that failed keeps off the workers that failed it for a moment, as far as
- * others may run it, and then prefers others that have room.
+ * Prepares the choice of workers for a step. A task avoids workers that failed it for some seconds if others may run it,
+ * and prefers other workers with free capacity afterwards.
  *
  * @example
  * const chooser = createChooser(step, workers, { nowMs, view, packing: "scarcest" });
@@ -161,11 +165,11 @@
     const usable: Candidate[] = [];
     const { job } = step.occurrence;
     const suspect = isSuspect(step);
-    for (const worker of mayRunOn(step, workers)) {
+    for (const worker of approvedWorkers(step, workers)) {
         const open = isOpen(worker, limits.nowMs);
         const hasTicket = ticketFor(step, worker.workerId, limits.nowMs) !== undefined;
         if (
-            (open ? hasTicket : isOpen(worker, limits.nowMs, Infinity)) && suits(worker, step)
+            (open ? hasTicket : isOpen(worker, limits.nowMs, Infinity)) && isEligible(worker, step)
             && (limits.rack === undefined || worker.entry.rack === limits.rack)
             && !isKeptFrom(worker, job, { workers, nowMs: limits.nowMs })
         ) {
@@ -173,21 +177,21 @@
                 worker,
                 open,
                 hasTicket,
-                fixed: fixedScore(worker, step) - disturbance(worker, spec)
-                    - companyPenalty * companyOf(worker, job, suspect),
+                fixed: fixedScore(worker, step) - interferenceOf(worker, spec)
+                    - crashExposurePenalty * companyOf(worker, job, suspect),
                 runs: runs.get(worker.workerId) ?? 0,
             });
         }
     }
 
-    const hasRoomFor = ({ worker, runs: here }: Candidate): boolean =>
-        allowsAnother(spec, here) && fits(held, view.roomFor(worker, step));
+    const hasCapacityFor = ({ worker, runs: runsHere }: Candidate): boolean =>
+        allowsAnother(spec, runsHere) && fits(held, view.roomFor(worker, step));
 
-    const score = ({ worker, fixed, runs: here }: Candidate): number => {
+    const score = ({ worker, fixed, runs: runsHere }: Candidate): number => {
         const offer = { capacity: worker.entry.capacity, room: view.roomFor(worker, step), held };
-        const together = !spec.longRunning && here > 0 ? togetherBonus : 0;
-        const takesKept = here === 0 && view.takesKept(worker, step) ? keptRoomPenalty : 0;
-        return fixed + packings[packing](offer) + together - takesKept;
+        const togetherScore = !spec.longRunning && runsHere > 0 ? togetherBonus : 0;
+        const reservedPenalty = runsHere === 0 && view.occupiesReserved(worker, step) ? reservedCapacityPenalty : 0;
+        return fixed + packings[packing](offer) + togetherScore - reservedPenalty;
     };
 
     return {
@@ -196,20 +200,21 @@
             const avoided = avoidedBy(task, { workers, nowMs, rack, except });
             let best: ShardWorker | undefined;
             let bestScore = -Infinity;
-            // Copies may wait: their tasks run.
-            const mayPass = task.runs.length === 0 && ignoresRests(task, nowMs);
+            // A copy never uses a resting worker, since its task already runs.
+            const mayUseResting = task.runs.length === 0 && ignoresRests(task, nowMs);
             for (const candidate of usable) {
                 const { worker, open, hasTicket } = candidate;
                 if (
-                    except?.has(worker.workerId) === true || !allowsTrial(worker, task, nowMs) || !hasRoomFor(candidate)
+                    except?.has(worker.workerId) === true || !allowsTrial(worker, task, nowMs)
+                    || !hasCapacityFor(candidate)
                 ) {
                     continue;
                 }
-                if (avoided.has(worker.workerId) || !open && !(mayPass && hasTicket)) {
+                if (avoided.has(worker.workerId) || !open && !(mayUseResting && hasTicket)) {
                     continue;
                 }
-                const value = score(candidate) - (open ? 0 : restPenalty)
-                    - (failedLately(task, worker.workerId, nowMs) ? failedPenalty : 0);
+                const value = score(candidate) - (open ? 0 : restingPenalty)
+                    - (failedLately(task, worker.workerId, nowMs) ? recentFailurePenalty : 0);
                 if (value > bestScore) {
                     best = worker;
                     bestScore = value;
@@ -217,7 +222,7 @@
             }
             return best;
         },
-        took: worker => {
+        recordPlacement: worker => {
             const candidate = usable.find(each => each.worker === worker);
             if (candidate !== undefined) {
                 candidate.runs += 1;
--- a/packages/puffinarch/src/core/shard/eligible.ts
+++ b/packages/puffinarch/src/core/shard/eligible.ts
@@ -1,4 +1,4 @@
-/** Which workers could run a step, and how many of its tasks: service, label, capacity, tickets and runs on one worker. */
+/** Eligibility of workers for a step, and how many of its tasks they can run: service, label, capacity, tickets and limits. */
 
 import { fits, type Resources, subtract } from "../../types/resources.js";
 import type { Step } from "../../types/work.js";
@@ -6,11 +6,11 @@
 import { heldBy, type ShardStep } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** A ticket that is about to end might be refused on arrival. */
+/** A ticket that is valid for less than this might have expired when the worker receives it. */
 const ticketMarginMs = 120;
 
 /**
- * Counts a step's live runs on each worker that has some.
+ * Counts a step's live runs by worker id.
  *
  * @example
  * countRuns(step).get("i-7f3a91c2"); // undefined
@@ -26,19 +26,19 @@
 };
 
 /**
- * Tells whether a worker that has so many live runs of a step may have another one.
+ * Tells whether a worker with this number of live runs of a step may have another one.
  *
  * @example
- * allowsAnother(step.spec, countRuns(step).get("i-7f3a91c2") ?? 0);
+ * allowsAnotherRun(step.spec, countRuns(step).get("i-7f3a91c2") ?? 0);
  */
 export const allowsAnother = ({ maxPerWorker }: Step, runsHere: number): boolean =>
     maxPerWorker === 0 || runsHere < maxPerWorker;
 
 /**
- * Counts the tasks of a step that find room, one beside the other, in this room of a worker.
+ * Counts the tasks of a step that fit together into the given capacity of a worker.
  *
  * @example
- * placesIn(roomOf(worker), step, countRuns(step).get(worker.workerId) ?? 0);
+ * countTasksThatFit(roomOf(worker), step, countRuns(step).get(worker.workerId) ?? 0);
  */
 export const placesIn = (room: Resources, { spec }: ShardStep, runsHere: number): number => {
     const held = heldBy(spec);
@@ -52,15 +52,15 @@
 };
 
 /**
- * Tells how many tasks of a step have to find room before any of them starts.
+ * Gives the number of tasks of a step for which capacity must be available before any of them starts.
  *
  * @example
- * placesNeeded(step); // all members of a gang, else 1
+ * minTasksToStart(step); // all members of a gang, else 1
  */
 export const placesNeeded = ({ spec, tasks }: ShardStep): number => spec.gang ? tasks.length : 1;
 
 /**
- * Tells whether the cap of its organisation lets none of a step's tasks start, or not the whole of a gang.
+ * Tells whether the cap of the organisation prevents the start of any task of a step, or of a whole gang.
  *
  * @example
  * if (isAtCap(step)) { return; }
@@ -69,7 +69,7 @@
     tasksUnderCap(step.occurrence.job.account, heldBy(step.spec)) < placesNeeded(step);
 
 /**
- * Gives the ticket that a start of the step must show: empty where none is needed, undefined where there is none.
+ * Gives the ticket to send with a start of the step: empty where the queue needs none, undefined where no valid one is known.
  *
  * @example
  * ticketFor(step, "i-7f3a91c2", clock.monotonicMs());
@@ -78,34 +78,34 @@
     if (step.occurrence.job.queue.advice === undefined) {
         return "";
     }
-    const good = step.advice.good.get(workerId);
-    return good !== undefined && good.validUntilMs - ticketMarginMs > nowMs ? good.ticket : undefined;
+    const approval = step.advice.good.get(workerId);
+    return approval !== undefined && approval.validUntilMs - ticketMarginMs > nowMs ? approval.ticket : undefined;
 };
 
 /**
- * Tells whether a worker could ever run the step: service, label and capacity.
+ * Tells whether a worker fulfils the step's requirements: service, label and total capacity.
  *
  * @example
  * suits(worker, step);
  */
-export const suits = (worker: ShardWorker, step: ShardStep): boolean =>
-    isOfKind(worker, step) && fits(heldBy(step.spec), worker.entry.capacity);
+export const isEligible = (worker: ShardWorker, step: ShardStep): boolean =>
+    hasServiceAndLabel(worker, step) && fits(heldBy(step.spec), worker.entry.capacity);
 
 /**
- * Tells whether a worker is of the service and of the kind that a step needs, whatever its size.
+ * Tells whether a worker has the service and the label that a step requires, whatever its capacity.
  *
  * @example
  * isOfKind(worker, step);
  */
-export const isOfKind = ({ entry }: ShardWorker, { spec, occurrence }: ShardStep): boolean =>
+export const hasServiceAndLabel = ({ entry }: ShardWorker, { spec, occurrence }: ShardStep): boolean =>
     entry.service === occurrence.job.queue.service
     && (spec.requiredLabel === "" || entry.labels.includes(spec.requiredLabel));
 
 /**
- * Tells whether a worker might run the step at some time: one that has shrunk may grow again.
+ * Tells whether a worker might become eligible for the step: its capacity may return to the most that it was listed with.
  *
  * @example
  * mightSuit(worker, step);
  */
-export const mightSuit = (worker: ShardWorker, step: ShardStep): boolean =>
-    isOfKind(worker, step) && fits(heldBy(step.spec), worker.mostCapacity);
+export const mightBecomeEligible = (worker: ShardWorker, step: ShardStep): boolean =>
+    hasServiceAndLabel(worker, step) && fits(heldBy(step.spec), worker.mostCapacity);
--- a/packages/puffinarch/src/core/shard/placing.ts
+++ b/packages/puffinarch/src/core/shard/placing.ts
@@ -1,10 +1,10 @@
-/** The pass over all steps that have tasks waiting: the most urgent first, each task to a worker with room. */
+/** Scheduling passes over all steps with waiting tasks: the most urgent step first, each task to a worker with free capacity. */
 
 import { type AskAdviceOptions, createAdviceAsker } from "./askAdvice.js";
 import { isTimeToAsk } from "./askAhead.js";
-import { isBlocked, noteBlocked } from "./blockedSteps.js";
+import { isBlocked, recordBlocked } from "./blockedSteps.js";
 import { type CapView, type CapWaits, createCapView } from "./capView.js";
-import { type Chooser, createChooser, openFor } from "./chooseWorker.js";
+import { type Chooser, createChooser, openWorkersFor } from "./chooseWorker.js";
 import { awaitsVerdict, needsTrial } from "./crashes.js";
 import { isAtCap } from "./eligible.js";
 import {
@@ -24,76 +24,77 @@
 import { inTurn, type RankedStep, standings } from "./urgency.js";
 import { dropRun, holdRoom, type ShardWorker } from "./workerTable.js";
 
-/** What placing needs. */
+/** Dependencies of a task placer. */
 export interface PlacingOptions extends Omit<AskAdviceOptions, "onAnswer"> {
-    /** The job's planned runs are to be made durable, then started. */
+    /** Receives planned runs of a job, to be committed and then started. */
     readonly onPlanned: (job: ShardJob, runs: readonly ShardRun[]) => void;
-    /** The run is to be stopped with its checkpoint, to make room. */
+    /** Receives a run to be stopped with its checkpoint, to free its capacity. */
     readonly onPreempt: (run: ShardRun) => void;
-    /** Asks for another pass soon; all that happens until then shares it. */
+    /** Requests another pass soon; requests made before it begins are merged. */
     readonly wake: () => void;
 }
 
-/** Places tasks. */
+/** Places the waiting tasks of a shard on workers. */
 export interface Placing {
-    /** Looks at the steps of a job again. */
+    /** Adds the steps of a job that have become ready, and those for which advice may be requested ahead. */
     consider(job: ShardJob): void;
+    /** Removes all steps of a job. */
     forget(job: ShardJob): void;
-    /** One pass over all that waits. */
+    /** Runs one pass: places waiting tasks and copies, and requests advice. */
     pass(): void;
-    /** Steps whose turn has come and some of whose tasks wait. */
+    /** Number of steps that are ready and have waiting tasks. */
     waitingSteps(): number;
-    /** Those, and the steps of which copies or advice may be wanted. */
+    /** Number of all steps that a pass visits: also those that may need copies, or advice ahead of time. */
     readySteps(): number;
-    /** Whether the step is among those that the next pass looks at. */
+    /** Whether the next pass tries to place the step's waiting tasks. */
     holds(step: ShardStep): boolean;
 }
 
-/** A run that takes this many times its estimate, and this much more, may be on a slow worker. */
+/** A run is overdue, and its worker may be slow, after `overdueFactor` times its estimate plus `overdueMs`. */
 const overdueFactor = 2.5;
 const overdueMs = 500;
-/** A step that has waited for less than this may find room by itself; tasks end every few milliseconds under load. */
-const patienceMs = 120;
-/** A plan of room holds for this long: runs end every few milliseconds, and planning at each end costs too much. */
-const planMs = 80;
-/** Only so many of the most urgent steps that wait have room planned; what is planned for others is far off. */
-const maxPlanned = 24;
-/** Runs are stopped only for jobs of which a stop takes at most this share of the time that they may take. */
-const stopShare = 0.34;
+/** Runs are stopped only for steps that have waited this long: under load tasks end every few milliseconds and free capacity anyway. */
+const preemptAfterMs = 120;
+/** A capacity plan is reused for this long: runs end every few milliseconds, and planning after each end costs too much. */
+const planValidMs = 80;
+/** Capacity is planned only for this many of the most urgent waiting steps; the others would get theirs far in the future. */
+const maxPlannedSteps = 24;
+/** Runs are stopped only for jobs whose objective is long enough that a stop takes at most this share of it. */
+const maxStopShare = 0.34;
 
-/** One pass over the waiting steps. */
-interface Round {
+/** State of one pass over the waiting steps. */
+interface PassContext {
     readonly nowMs: number;
     readonly wallMs: number;
     readonly view: RoomView;
-    /** Steps that had room planned so far. */
+    /** Number of steps for which capacity was planned in this pass, or an earlier plan was reused. */
     planned: number;
     readonly caps: CapView;
 }
 
-/** Where a step's waiting tasks are expected to run. */
-interface RoomPlan {
+/** Where a step's waiting tasks are expected to run, and when this was planned. */
+interface CapacityPlan {
     readonly madeAtMs: number;
     readonly reservations: readonly Reservation[];
 }
 
 /**
- * Makes the placing of a shard.
+ * Creates the task placer of a shard.
  *
  * @example
- * const placing = createPlacing({ clock, log, meter, settings, workers, desk, onPlanned, onPreempt, wake });
- * placing.consider(job);
- * placing.pass();
+ * const placer = createTaskPlacer({ clock, log, meter, settings, workers, dispatcher, onPlanned, onPreempt, wake });
+ * placer.updateJob(job);
+ * placer.runPass();
  */
 export const createPlacing = (options: PlacingOptions): Placing => {
     const { clock, log, meter, settings, workers, desk, onPlanned } = options;
     const ready = new Set<ShardStep>();
-    /** Steps that wait for others and about which nobody has asked yet. */
+    /** Steps that wait for their predecessors and for which no advice was requested yet. */
     const upcoming = new Set<ShardStep>();
-    /** Steps that began and whose tasks may run twice at once. */
+    /** Started steps whose tasks may have several runs at the same time. */
     const copyable = new Set<ShardStep>();
 
-    const plan = (task: ShardTask, worker: ShardWorker, number: number): ShardRun | undefined => {
+    const planRun = (task: ShardTask, worker: ShardWorker, number: number): ShardRun | undefined => {
         const run = newRun(task, worker.workerId, number, {
             address: worker.entry.address,
             bornAtMs: worker.bornAtMs,
@@ -109,81 +110,82 @@
         return run;
     };
 
-    const asker = createAdviceAsker({ clock, log, meter, settings, workers, desk, onAnswer: options.wake });
-    const plans = new Map<ShardStep, RoomPlan>();
-    const gangsSinceMs: CapWaits = new WeakMap();
+    const adviceRequester = createAdviceAsker({ clock, log, meter, settings, workers, desk, onAnswer: options.wake });
+    const plans = new Map<ShardStep, CapacityPlan>();
+    const capWaits: CapWaits = new WeakMap();
 
-    /** The waits of tasks that have places for sure; members of a gang are planned before that is known. */
+    /** Ends the trial waits of placed tasks. For a gang, call it only once all members have a worker. */
     const endTrialWaits = (runs: readonly ShardRun[]): void => {
         for (const { task } of runs) {
             task.trialWantedAtMs = undefined;
         }
     };
 
-    const chooserFor = (step: ShardStep, { nowMs, view }: Round): Chooser =>
+    const chooserFor = (step: ShardStep, { nowMs, view }: PassContext): Chooser =>
         createChooser(step, workers, { nowMs, view, packing: settings.policies.packing });
 
-    /** From now on a task on trial waits for a worker of its own; the members of a gang do so at the same time. */
-    const wantTrials = (tasks: readonly ShardTask[]): void => {
+    /** Starts the wait of tasks on trial for a worker of their own; the members of a gang start it together. */
+    const startTrialWaits = (tasks: readonly ShardTask[]): void => {
         for (const task of tasks.filter(needsTrial)) {
             task.trialWantedAtMs ??= clock.monotonicMs();
         }
     };
 
-    /** Plans a run of the task on the best worker; undefined where there is no room. */
+    /** Plans a run of the task on the best worker; undefined where no worker can take it. */
     const placeOne = (
         chooser: Chooser,
         task: ShardTask,
         number: number,
         except?: ReadonlySet<string>,
     ): ShardRun | undefined => {
-        wantTrials([task]);
+        startTrialWaits([task]);
         const worker = chooser.choose(task, except);
-        const run = worker === undefined ? undefined : plan(task, worker, number);
+        const run = worker === undefined ? undefined : planRun(task, worker, number);
         if (worker !== undefined && run !== undefined) {
-            chooser.took(worker);
+            chooser.recordPlacement(worker);
         }
         return run;
     };
 
-    const noteTaken = ({ workerId, task }: ShardRun, view: RoomView): void => {
+    const recordPlacement = ({ workerId, task }: ShardRun, view: RoomView): void => {
         const worker = workers.get(workerId);
         if (worker !== undefined) {
-            view.tookRoom(worker, task.step);
+            view.recordPlacement(worker, task.step);
         }
     };
 
-    const placeTasks = (step: ShardStep, waiting: readonly ShardTask[], round: Round): readonly ShardRun[] => {
+    const placeTasks = (step: ShardStep, waiting: readonly ShardTask[], context: PassContext): readonly ShardRun[] => {
         const runs: ShardRun[] = [];
-        const chooser = chooserFor(step, round);
-        // Tasks that have not failed are alike; one that failed may keep off workers that take the others.
-        let full = false;
+        const chooser = chooserFor(step, context);
+        // Tasks without failures and trials have the same requirements, so the rest are skipped once one found no worker.
+        // Tasks that failed avoid some workers, so their result says nothing about the rest.
+        let workersFull = false;
         for (const task of waiting) {
             const isPlain = task.failedOn.size === 0 && !needsTrial(task);
-            const run = isPlain && full ? undefined : placeOne(chooser, task, task.lastRun + 1);
+            const run = isPlain && workersFull ? undefined : placeOne(chooser, task, task.lastRun + 1);
             if (run !== undefined) {
                 runs.push(run);
-                noteTaken(run, round.view);
+                recordPlacement(run, context.view);
             }
             else if (needsTrial(task)) {
-                holdForTrial(task, openFor(step, workers, round.nowMs), { workers, nowMs: round.nowMs });
+                holdForTrial(task, openWorkersFor(step, workers, context.nowMs), { workers, nowMs: context.nowMs });
             }
             else if (isPlain) {
-                full = true;
+                workersFull = true;
             }
         }
         return runs;
     };
 
-    /** All members at once under one run number, or none. */
-    const placeGang = (step: ShardStep, waiting: readonly ShardTask[], round: Round): readonly ShardRun[] => {
+    /** Places all members of a gang under one run number, or none. */
+    const placeGang = (step: ShardStep, waiting: readonly ShardTask[], context: PassContext): readonly ShardRun[] => {
         if (waiting.length < step.tasks.length) {
             return [];
         }
         const number = 1 + Math.max(...step.tasks.map(task => task.lastRun));
         const runs: ShardRun[] = [];
-        const chooser = chooserFor(step, round);
-        wantTrials(waiting);
+        const chooser = chooserFor(step, context);
+        startTrialWaits(waiting);
         const trials = waiting.some(needsTrial)
             ? new Map([...workers.values()].map(worker => [worker, worker.trial]))
             : undefined;
@@ -203,13 +205,13 @@
             runs.push(run);
         }
         for (const run of runs) {
-            noteTaken(run, round.view);
+            recordPlacement(run, context.view);
         }
         return runs;
     };
 
-    /** Whether a copy is worth its room: its only run is on a worker that does not answer, or takes far too long. */
-    const wantsCopy = (task: ShardTask, nowMs: number): boolean => {
+    /** Whether a copy is worth its capacity: the task's only run is on an unresponsive worker, or is overdue. */
+    const needsCopy = (task: ShardTask, nowMs: number): boolean => {
         const [run] = task.runs;
         if (task.done || run === undefined || task.runs.length > 1 || task.crashes > 0) {
             return false;
@@ -218,21 +220,21 @@
         if (worker !== undefined && fellAtStart(run, worker)) {
             return false;
         }
-        const silent = (worker?.silentLooks ?? 1) > 0;
+        const unresponsive = (worker?.silentLooks ?? 1) > 0;
         const { estimateMs } = task.step.spec;
         const overdue = estimateMs > 0 && run.startedAtMs !== undefined
             && nowMs - run.startedAtMs > overdueFactor * estimateMs + overdueMs;
-        return silent || overdue;
+        return unresponsive || overdue;
     };
 
-    const placeCopies = (step: ShardStep, round: Round): void => {
-        const { nowMs, view } = round;
-        const tasks = step.tasks.filter(task => wantsCopy(task, nowMs));
+    const placeCopies = (step: ShardStep, context: PassContext): void => {
+        const { nowMs, view } = context;
+        const tasks = step.tasks.filter(task => needsCopy(task, nowMs));
         if (tasks.length === 0 || isAtCap(step)) {
             return;
         }
         const runs: ShardRun[] = [];
-        const chooser = chooserFor(step, round);
+        const chooser = chooserFor(step, context);
         for (const task of tasks) {
             const run = placeOne(chooser, task, task.lastRun + 1, new Set(task.runs.map(each => each.workerId)));
             if (run !== undefined) {
@@ -249,31 +251,31 @@
             onPlanned(step.occurrence.job, runs);
         }
         if (runs.length < tasks.length) {
-            asker.askFor({ step, waiting: tasks.length - runs.length, reservations: [], view, nowMs });
+            adviceRequester.askFor({ step, waiting: tasks.length - runs.length, reservations: [], view, nowMs });
         }
     };
 
-    /** Keeps room for tasks that found none, from all steps that follow in this pass. */
-    const keepRoom = (
+    /** Reserves capacity for tasks that found no worker, so that later steps of this pass do not take it. */
+    const reserveCapacity = (
         { step, standing, dueAtMs }: RankedStep,
         waiting: number,
-        round: Round,
+        context: PassContext,
     ): readonly Reservation[] => {
-        const { nowMs, wallMs, view } = round;
+        const { nowMs, wallMs, view } = context;
         if (settings.policies.room === "none" || standing !== standings.onTime || step.spec.fills) {
             return [];
         }
-        round.planned += 1;
-        const known = plans.get(step);
-        if (round.planned > maxPlanned) {
+        context.planned += 1;
+        const lastPlan = plans.get(step);
+        if (context.planned > maxPlannedSteps) {
             return [];
         }
-        if (known !== undefined && nowMs - known.madeAtMs < planMs) {
-            known.reservations.forEach(view.keep);
-            return known.reservations;
+        if (lastPlan !== undefined && nowMs - lastPlan.madeAtMs < planValidMs) {
+            lastPlan.reservations.forEach(view.keep);
+            return lastPlan.reservations;
         }
         const tailMs = step.occurrence.course?.tailsMs[step.number] ?? 0;
-        // A step that lasts, or has no objective, earns from its start on.
+        // Long-running steps and steps without an objective have no due time; any delay of their start is a loss.
         const slackMs = Number.isFinite(dueAtMs) ? dueAtMs - wallMs - tailMs : 0;
         const reservations = planRoom({ step, waiting, workers, view, nowMs, stopMs: settings.stopMs, slackMs });
         plans.set(step, { madeAtMs: nowMs, reservations });
@@ -284,7 +286,7 @@
 
     const stopVictims = (step: ShardStep, reservations: readonly Reservation[], nowMs: number): void => {
         const objectiveMs = step.occurrence.course?.objectiveMs ?? Infinity;
-        if (nowMs - step.readyAtMs < patienceMs || settings.stopMs > stopShare * objectiveMs) {
+        if (nowMs - step.readyAtMs < preemptAfterMs || settings.stopMs > maxStopShare * objectiveMs) {
             return;
         }
         for (const run of reservations.flatMap(reservation => reservation.victims)) {
@@ -299,9 +301,9 @@
         }
     };
 
-    const placeStep = (ranked: RankedStep, round: Round): void => {
+    const placeStep = (ranked: RankedStep, context: PassContext): void => {
         const { step } = ranked;
-        const { nowMs, view } = round;
+        const { nowMs, view } = context;
         const all = step.tasks.filter(isWaiting);
         if (all.length === 0 || hasEnded(step.occurrence.job)) {
             ready.delete(step);
@@ -309,17 +311,17 @@
             return;
         }
         if (step.spec.longRunning) {
-            // Each of its tasks counts as lost once it has stood for 3 s, and they are tried one after the other.
-            wantTrials(all.filter(task => !awaitsVerdict(task, nowMs)));
+            // Each of these tasks counts as lost after 3 s without a run. Their trials run one after the other, so all waits begin now.
+            startTrialWaits(all.filter(task => !awaitsVerdict(task, nowMs)));
         }
-        const able = startable(step, all, { workers, nowMs });
-        const waiting = round.caps.allowed(step, able);
-        if (waiting.length === 0 && able.length > 0) {
-            // No advice, no kept room and no stops for what cannot start.
+        const startableTasks = startable(step, all, { workers, nowMs });
+        const waiting = context.caps.allowed(step, startableTasks);
+        if (waiting.length === 0 && startableTasks.length > 0) {
+            // The organisation's cap prevents a start: request no advice, reserve nothing and stop no runs.
             step.blockedAtMs = undefined;
             return;
         }
-        const runs = step.spec.gang ? placeGang(step, waiting, round) : placeTasks(step, waiting, round);
+        const runs = step.spec.gang ? placeGang(step, waiting, context) : placeTasks(step, waiting, context);
         if (runs.length > 0) {
             endTrialWaits(runs);
             log.write("info", "placed", {
@@ -338,27 +340,27 @@
             }
         }
         if (step.spec.gang && waiting.length < step.tasks.length) {
-            // It cannot begin before the other members have ended; only its tickets may be there by then.
+            // A gang starts only as a whole, once runs of its other members have ended; its tickets are requested meanwhile.
             step.blockedAtMs = undefined;
-            asker.askFor({ step, waiting: step.tasks.length, reservations: [], view, nowMs });
+            adviceRequester.askFor({ step, waiting: step.tasks.length, reservations: [], view, nowMs });
             return;
         }
-        const left = waiting.length - runs.length;
-        noteBlocked(step, left > 0 && isBlocked(step, { workers, nowMs }), nowMs);
+        const unplaced = waiting.length - runs.length;
+        recordBlocked(step, unplaced > 0 && isBlocked(step, { workers, nowMs }), nowMs);
         if (runs.length > 0) {
             step.blockedBeforeMs = 0;
         }
-        if (left > 0) {
-            // Room that is kept beside others is of no use to a task that is to run by itself.
-            const reservations = step.tasks.some(needsTrial) ? [] : keepRoom(ranked, left, round);
-            round.caps.keep(step, reservations.length);
-            const wish = { step, waiting: left, reservations, view, nowMs };
-            asker.askFor(wish);
-            asker.keepAsked(wish);
+        if (unplaced > 0) {
+            // A task on trial needs a worker without other runs, so that a reservation on a shared worker is of no use to it.
+            const reservations = step.tasks.some(needsTrial) ? [] : reserveCapacity(ranked, unplaced, context);
+            context.caps.keep(step, reservations.length);
+            const request = { step, waiting: unplaced, reservations, view, nowMs };
+            adviceRequester.askFor(request);
+            adviceRequester.reserveRequested(request);
         }
     };
 
-    const askAhead = ({ view, nowMs }: Round): void => {
+    const requestAdviceAhead = ({ view, nowMs }: PassContext): void => {
         for (const step of upcoming) {
             if (hasEnded(step.occurrence.job) || isReady(step)) {
                 upcoming.delete(step);
@@ -366,30 +368,30 @@
             }
             if (isTimeToAsk(step) && !isAtCap(step)) {
                 upcoming.delete(step);
-                asker.askAhead(step, view, nowMs);
+                adviceRequester.requestAhead(step, view, nowMs);
             }
         }
     };
 
     const pass = (): void => {
         const nowMs = clock.monotonicMs();
-        const round: Round = {
+        const context: PassContext = {
             nowMs,
             wallMs: clock.nowMs(),
             view: createRoomView(nowMs),
             planned: 0,
-            caps: createCapView(nowMs, gangsSinceMs),
+            caps: createCapView(nowMs, capWaits),
         };
         for (const ranked of inTurn(ready, { clock, workers, order: settings.policies.order })) {
-            placeStep(ranked, round);
+            placeStep(ranked, context);
         }
-        askAhead(round);
+        requestAdviceAhead(context);
         for (const step of copyable) {
             if (step.open === 0 || hasEnded(step.occurrence.job)) {
                 copyable.delete(step);
                 continue;
             }
-            placeCopies(step, round);
+            placeCopies(step, context);
         }
     };
 
--- a/packages/puffinarch/src/core/shard/planRoom.ts
+++ b/packages/puffinarch/src/core/shard/planRoom.ts
@@ -1,63 +1,63 @@
 /**
- * Where the waiting tasks of a step are expected to run: which worker has room for each first, by the runs that end or can
- * be stopped there. A task that needs much of a worker would else wait for ever behind small ones that take each piece of
- * room as it falls free.
+ * Plans where and when the waiting tasks of a step get capacity: for each task the worker that first has enough, from runs
+ * that end or can be stopped there. Without reservations large tasks would starve, since small ones take each piece of
+ * capacity as soon as it is free.
  */
 
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
 import { avoidedByAll } from "./avoidance.js";
-import { allowsAnother, countRuns, suits } from "./eligible.js";
+import { allowsAnother, countRuns, isEligible } from "./eligible.js";
 import { estimatedEndMs, estimatedRunMs, heldBy, runPhases, type ShardRun, type ShardStep } from "./jobBook.js";
 import { chooseVictims, givesWay } from "./preempt.js";
 import type { Reservation, RoomView } from "./roomView.js";
 import { isKeptFrom } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
-/** What a plan needs. */
+/** Inputs of a plan. */
 export interface PlanOptions {
     readonly step: ShardStep;
-    /** Tasks that found no room, or no ticket where there is room. */
+    /** Number of tasks that found no worker with capacity, or only workers for which they have no ticket. */
     readonly waiting: number;
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly view: RoomView;
     readonly nowMs: number;
-    /** How long a stop may take. */
+    /** How long a worker may take to stop a run. */
     readonly stopMs: number;
-    /** How long the job may still wait to be in time; 0 or less where it cannot be. */
+    /** How long the step may still wait for the job to meet its objective; 0 or less where it cannot. */
     readonly slackMs: number;
 }
 
-/** When a worker has room for one more task, and whose stop gives it. */
+/** When a worker has capacity for one more task, and which runs must be stopped for it. */
 interface Opening {
     readonly freeAtMs: number;
     readonly victims: readonly ShardRun[];
 }
 
-/** A run that is overdue may end at any moment; as a share of its estimate, and at least this long. */
-const overdueShare = 0.15;
-const overdueMs = 100;
-/** A stop and a restore cost about a second of a less urgent task; they are worth it where they save this share of the slack. */
-const worthwhileShare = 0.1;
-/** Among workers that are free at about the same time, each run that must be stopped counts as much as this wait. */
+/** Least remaining time assumed for a run, as a share of its estimate and in total: one past its estimate may end at any moment. */
+const minRemainingShare = 0.15;
+const minRemainingMs = 100;
+/** A stop and a restore cost the stopped task about 1 s, so runs are stopped only where that saves more than this share of the slack. */
+const minSavedShare = 0.1;
+/** Cost of each run to be stopped, as additional waiting time, when workers are compared. */
 const victimCostMs = 50;
-/** A task that takes less of a worker than this finds its place among others and needs none kept. */
+/** Tasks that need a smaller share of a worker than this find free capacity without a reservation. */
 const largeShare = 0.25;
 
 const expectedEndMs = (run: ShardRun, nowMs: number, stopMs: number): number => {
     if (run.phase === runPhases.stopping) {
         return nowMs + stopMs;
     }
-    const leastMs = nowMs + Math.max(overdueMs, overdueShare * estimatedRunMs(run));
-    return Math.max(leastMs, estimatedEndMs(run, nowMs));
+    const earliestMs = nowMs + Math.max(minRemainingMs, minRemainingShare * estimatedRunMs(run));
+    return Math.max(earliestMs, estimatedEndMs(run, nowMs));
 };
 
-/** When the runs that end by themselves leave enough room; `Infinity` where they never do. */
+/** Time at which enough capacity is free once these runs end by themselves, in order of their ends; `Infinity` where it never is. */
 const whenFreed = (
     runs: readonly { readonly run: ShardRun; readonly endMs: number; }[],
     need: Resources,
-    from: Resources,
+    initial: Resources,
 ): number => {
-    let room = from;
+    let room = initial;
     for (const { run, endMs } of runs) {
         room = add(room, run.held);
         if (fits(need, room)) {
@@ -80,26 +80,26 @@
     const ends = [...worker.runs.values()]
         .map(run => ({ run, endMs: expectedEndMs(run, nowMs, stopMs) }))
         .sort((left, right) => left.endMs - right.endMs);
-    const byItselfMs = whenFreed(ends, need, room);
+    const freedByEndsMs = whenFreed(ends, need, room);
     const stoppedMs = nowMs + stopMs;
-    const worthwhile = byItselfMs - stoppedMs > worthwhileShare * Math.max(0, slackMs);
+    const worthwhile = freedByEndsMs - stoppedMs > minSavedShare * Math.max(0, slackMs);
     if (!worthwhile) {
-        return { freeAtMs: byItselfMs, victims: [] };
+        return { freeAtMs: freedByEndsMs, victims: [] };
     }
     const victims = chooseVictims(worker, { need, room, priority });
     if (victims !== undefined) {
         return { freeAtMs: stoppedMs, victims };
     }
-    // What gives way is stopped only once the others are gone, so that it works on until then.
-    const able = ends.filter(({ run }) => givesWay(run, priority));
+    // Preemptible runs keep running until the other runs have ended; only then does stopping them free enough.
+    const preemptible = ends.filter(({ run }) => givesWay(run, priority));
     const others = ends.filter(({ run }) => !givesWay(run, priority));
-    const freed = able.reduce((sum, { run }) => add(sum, run.held), room);
-    const freeAtMs = Math.min(byItselfMs, whenFreed(others, need, freed));
+    const freed = preemptible.reduce((sum, { run }) => add(sum, run.held), room);
+    const freeAtMs = Math.min(freedByEndsMs, whenFreed(others, need, freed));
     return Number.isFinite(freeAtMs) ? { freeAtMs, victims: [] } : undefined;
 };
 
 const isCandidate = (worker: ShardWorker, { step, workers, nowMs }: PlanOptions): boolean =>
-    isOpen(worker, nowMs) && suits(worker, step)
+    isOpen(worker, nowMs) && isEligible(worker, step)
     && !isKeptFrom(worker, step.occurrence.job, { workers, nowMs })
     && (step.occurrence.job.queue.advice === undefined || step.advice.good.has(worker.workerId));
 
@@ -110,32 +110,36 @@
         held.accelerators / Math.max(1, capacity.accelerators),
     );
 
-/** A gang begins when the last of its members has room; until then nobody is stopped for it. */
-const alignGang = (slots: readonly Reservation[], { waiting, nowMs, stopMs }: PlanOptions): readonly Reservation[] => {
-    if (slots.length < waiting) {
+/** A gang starts once there is capacity for its last member; no run is stopped for it before that is one stop away. */
+const alignGang = (
+    planned: readonly Reservation[],
+    { waiting, nowMs, stopMs }: PlanOptions,
+): readonly Reservation[] => {
+    if (planned.length < waiting) {
         return [];
     }
-    const freeAtMs = Math.max(...slots.map(slot => slot.freeAtMs));
+    const freeAtMs = Math.max(...planned.map(reservation => reservation.freeAtMs));
     const soon = freeAtMs <= nowMs + stopMs;
-    return slots.map(slot => ({ ...slot, freeAtMs, victims: soon ? slot.victims : [] }));
+    return planned.map(reservation => ({ ...reservation, freeAtMs, victims: soon ? reservation.victims : [] }));
 };
 
 /**
- * Plans room for the waiting tasks of a step, each on the worker that has room for it first. Only tasks that need much of
- * a worker, or for which others are stopped, keep room; all members of a gang do, or none.
+ * Plans reservations for the waiting tasks of a step, each on the worker that first has capacity for it. Only large tasks
+ * and tasks for which runs are stopped get a reservation; of a gang, all members do or none.
  *
  * @example
- * const reservations = planRoom({ step, waiting: 2, workers, view, nowMs, stopMs: 400, slackMs: 5_000 });
+ * const reservations = planReservations({ step, waiting: 2, workers, view, nowMs, stopMs: 400, slackMs: 5_000 });
  */
 export const planRoom = (options: PlanOptions): readonly Reservation[] => {
     const { step, waiting, workers, view } = options;
     const held = heldBy(step.spec);
     const runs = countRuns(step);
-    const taken = new Map<string, { readonly room: Resources; readonly count: number; }>();
+    /** Capacity and number of tasks planned so far, by worker id. */
+    const plannedByWorker = new Map<string, { readonly room: Resources; readonly count: number; }>();
     const openings = new Map<ShardWorker, Opening | undefined>();
 
-    const refresh = (worker: ShardWorker): void => {
-        const { room, count } = taken.get(worker.workerId) ?? { room: noResources, count: 0 };
+    const updateOpening = (worker: ShardWorker): void => {
+        const { room, count } = plannedByWorker.get(worker.workerId) ?? { room: noResources, count: 0 };
         const full = !allowsAnother(step.spec, (runs.get(worker.workerId) ?? 0) + count);
         openings.set(worker, full ? undefined : openingOf(worker, subtract(view.roomFor(worker, step), room), options));
     };
@@ -159,28 +163,28 @@
     const avoided = avoidedByAll(step, options);
     for (const worker of workers.values()) {
         if (isCandidate(worker, options) && !avoided.has(worker.workerId)) {
-            refresh(worker);
+            updateOpening(worker);
         }
     }
-    const slots: Reservation[] = [];
-    while (slots.length < waiting) {
+    const planned: Reservation[] = [];
+    while (planned.length < waiting) {
         const best = bestOpening();
         if (best === undefined) {
             break;
         }
         const { worker, opening } = best;
-        const { room, count } = taken.get(worker.workerId) ?? { room: noResources, count: 0 };
-        taken.set(worker.workerId, { room: add(room, held), count: count + 1 });
-        slots.push({ step, workerId: worker.workerId, held, ...opening });
+        const { room, count } = plannedByWorker.get(worker.workerId) ?? { room: noResources, count: 0 };
+        plannedByWorker.set(worker.workerId, { room: add(room, held), count: count + 1 });
+        planned.push({ step, workerId: worker.workerId, held, ...opening });
         if (opening.victims.length > 0) {
-            // One round of stops on a worker at a time; what they leave is seen when they are gone.
+            // A plan stops runs on a worker only once; capacity left over by the stops is counted in a later plan.
             openings.set(worker, undefined);
         }
         else {
-            refresh(worker);
+            updateOpening(worker);
         }
     }
-    const aligned = step.spec.gang ? alignGang(slots, options) : slots;
+    const aligned = step.spec.gang ? alignGang(planned, options) : planned;
     return aligned.filter(({ workerId, victims }) => {
         const capacity = workers.get(workerId)?.entry.capacity ?? noResources;
         return step.spec.gang || victims.length > 0 || shareOf(held, capacity) >= largeShare;
--- a/packages/puffinarch/src/core/shard/preempt.ts
+++ b/packages/puffinarch/src/core/shard/preempt.ts
@@ -1,4 +1,4 @@
-/** Which less urgent runs of a worker to stop, with their checkpoint, so that an urgent task finds room there. */
+/** Selects the less urgent runs of a worker to be stopped, with their checkpoint, to free capacity for a more urgent task. */
 
 import { add, fits, type Resources } from "../../types/resources.js";
 import { runPhases, type ShardRun } from "./jobBook.js";
@@ -6,10 +6,10 @@
 import type { ShardWorker } from "./workerTable.js";
 
 /**
- * Tells whether a run gives way to steps of a priority: it is less urgent, and resumes from where it was stopped.
+ * Tells whether a run may be stopped for steps of a priority: it is running, less urgent, and can resume from its checkpoint.
  *
  * @example
- * if (givesWay(run, 0)) { stop(run); }
+ * if (isPreemptibleBy(run, 0)) { stop(run); }
  */
 export const givesWay = (run: ShardRun, priority: number): boolean => {
     const { step, done } = run.task;
@@ -19,12 +19,12 @@
 
 const priorityOf = ({ task }: ShardRun): number => task.step.occurrence.job.queue.priority;
 
-/** The least urgent first, and the largest first among equals, so that few are stopped. */
+/** Least urgent first, then largest first, so that few runs are stopped. */
 const byCost = (left: ShardRun, right: ShardRun): number =>
     priorityOf(right) - priorityOf(left) || right.held.accelerators - left.held.accelerators
     || right.held.cpuMillis - left.held.cpuMillis;
 
-const smallestAlone = (runs: readonly ShardRun[], need: Resources, room: Resources): ShardRun | undefined => {
+const smallestSufficient = (runs: readonly ShardRun[], need: Resources, room: Resources): ShardRun | undefined => {
     let best: ShardRun | undefined;
     for (const run of runs) {
         const smaller = best === undefined || run.held.cpuMillis < best.held.cpuMillis;
@@ -35,12 +35,12 @@
     return best;
 };
 
-const sumOf = (room: Resources, runs: readonly ShardRun[]): Resources =>
+const capacityAfterStops = (room: Resources, runs: readonly ShardRun[]): Resources =>
     runs.reduce((sum, run) => add(sum, run.held), room);
 
 /**
- * Chooses the runs of a worker whose stop gives room for a task: one alone where one suffices, else as few as possible;
- * undefined where stopping all that give way would not suffice.
+ * Chooses the runs of a worker to be stopped for a task: the smallest single run that suffices, else several by urgency and
+ * size, none of them superfluous; undefined where stopping every preemptible run would not suffice.
  *
  * @example
  * const victims = chooseVictims(worker, { need, room, priority: 0 });
@@ -49,25 +49,25 @@
     worker: ShardWorker,
     { need, room, priority }: { readonly need: Resources; readonly room: Resources; readonly priority: number; },
 ): readonly ShardRun[] | undefined => {
-    const able = [...worker.runs.values()].filter(run => givesWay(run, priority));
-    const alone = smallestAlone(able, need, room);
-    if (alone !== undefined) {
-        return [alone];
+    const preemptible = [...worker.runs.values()].filter(run => givesWay(run, priority));
+    const single = smallestSufficient(preemptible, need, room);
+    if (single !== undefined) {
+        return [single];
     }
     const chosen: ShardRun[] = [];
-    for (const run of able.sort(byCost)) {
-        if (fits(need, sumOf(room, chosen))) {
+    for (const run of preemptible.sort(byCost)) {
+        if (fits(need, capacityAfterStops(room, chosen))) {
             break;
         }
         chosen.push(run);
     }
-    if (!fits(need, sumOf(room, chosen))) {
+    if (!fits(need, capacityAfterStops(room, chosen))) {
         return undefined;
     }
-    // What was taken first may not be needed once larger ones are gone.
+    // A less urgent run that was chosen early may be superfluous once a larger one was added.
     for (const run of [...chosen].reverse()) {
         const others = chosen.filter(other => other !== run);
-        if (fits(need, sumOf(room, others))) {
+        if (fits(need, capacityAfterStops(room, others))) {
             chosen.splice(chosen.indexOf(run), 1);
         }
     }
--- a/packages/puffinarch/src/core/shard/roomView.ts
+++ b/packages/puffinarch/src/core/shard/roomView.ts
@@ -1,112 +1,130 @@
-/** What of a worker's room a step may use, beside room that is kept for more urgent steps. */
+/** Capacity of workers that a step may use during a pass: what is free, less what is reserved for more urgent steps. */
 
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
-import { hasWaitedLong, holdPatienceMs } from "./blockedSteps.js";
+import { hasWaitedLong, maxBlockedMs } from "./blockedSteps.js";
 import type { ShardRun, ShardStep } from "./jobBook.js";
 import { roomOf, type ShardWorker } from "./workerTable.js";
 
-/** Room on one worker that is kept for a task of a step. */
+/** Capacity on one worker that is reserved for one task of a step. */
 export interface Reservation {
     readonly step: ShardStep;
     readonly workerId: string;
     readonly held: Resources;
-    /** Local time at which it is expected to be free. */
+    /** Local time at which the capacity is expected to be free. */
     readonly freeAtMs: number;
-    /** Less urgent runs whose stop frees it. */
+    /** Less urgent runs to be stopped to free it. */
     readonly victims: readonly ShardRun[];
 }
 
-/** Room as it is seen in one pass over the waiting steps, which goes from the most urgent to the least. */
+/** Capacity and reservations during one pass, which visits waiting steps from the most to the least urgent. */
 export interface RoomView {
-    /** Keeps room from all steps that are considered later. */
+    /** Reserves capacity, so that steps visited later in the pass cannot use it. */
     keep(reservation: Reservation): void;
     /**
-     * Room that a task of the step may use now, or in `aheadMs` if nothing changes; negative where more is kept than is
+     * Capacity that a task of the step may use now, or in `aheadMs` if nothing changes; negative where more is reserved than
      * free.
      */
     roomFor(worker: ShardWorker, step: ShardStep, aheadMs?: number): Resources;
-    /** A task of the step was placed there; where it took what is kept, others may not do so again at once. */
-    tookRoom(worker: ShardWorker, step: ShardStep): void;
-    /** Whether a task that lasts would take room there that is kept for others, for good. */
-    takesKept(worker: ShardWorker, step: ShardStep): boolean;
+    /**
+     * Records that a task of the step was placed there. Where it took reserved capacity, other steps may not do so again
+     * for some time.
+     */
+    recordPlacement(worker: ShardWorker, step: ShardStep): void;
+    /** Whether the step is long-running and capacity there is reserved for others, which its task would take permanently. */
+    occupiesReserved(worker: ShardWorker, step: ShardStep): boolean;
 }
 
-/** Estimates of run times are off by up to half; a task that ends before by this much passes. */
+/** A task may use reserved capacity if this multiple of its estimate ends in time; estimates are off by up to half. */
 const estimateMargin = 1.3;
-/** A run that can be stopped and resumed makes some progress within this; a restore alone takes up to 0.6 s. */
-const progressMs = 1_500;
+/** A preemptible run makes some progress within this time; a restore alone takes up to 0.6 s. */
+const minProgressMs = 1_500;
 
-/** Whether a task can be stopped for a more urgent one at no loss of work. */
+/** Whether a task of the step can be stopped for a more urgent one without losing its work. */
 export const isPreemptible = ({ spec }: ShardStep): boolean =>
     spec.checkpointing && !spec.gang && !spec.longRunning && !spec.fills;
 
 /**
- * Room may be kept for as long as an objective allows, for a gang whose last worker is busy, and its plan may never come
- * true: a run beyond its estimate may end at any moment, and does not. So a task of a job that has waited long takes the
- * room, and the next one only after twice the time: a stream of such tasks would else keep the gang out for ever.
+ * Time between the first two overrides of a reservation; doubles with each override. A reservation may stand for as long as
+ * the objective of its job allows and never be used, such as one for a gang whose last worker has a run past its estimate.
+ * A step that has been blocked for long may therefore override it. The interval doubles, since a stream of such steps would
+ * otherwise starve the gang.
+ */
+const overrideIntervalMs = 2 * maxBlockedMs;
+/**
+ * A reservation for a start later than this would leave capacity idle for long, so the interval between its overrides is only
+ * `maxBlockedMs` and does not grow.
  */
-const passedAgainMs = 2 * holdPatienceMs;
-/** Room that is kept for what begins this late would lie idle for long; each job that waits long takes some of it in turn. */
-const farOffMs = 10_000;
+const distantStartMs = 10_000;
 
 const priorityOf = ({ occurrence }: ShardStep): number => occurrence.job.queue.priority;
 
-/** Whether a step that has waited long may take what is kept for another; each task that lasts counts by itself. */
-const mayTake = (step: ShardStep, kept: Reservation, atMs: number): boolean =>
-    hasWaitedLong(step, atMs) && (step.spec.longRunning || kept.step.passableAtMs <= atMs);
+/** Whether a step that has been blocked for long may override a reservation; a long-running step need not await the interval. */
+const mayOverride = (step: ShardStep, reservation: Reservation, atMs: number): boolean =>
+    hasWaitedLong(step, atMs) && (step.spec.longRunning || reservation.step.passableAtMs <= atMs);
 
-/** When the next one may take what is kept after another one did. */
-const nextPassAtMs = ({ step, freeAtMs }: Reservation, nowMs: number): number =>
-    nowMs + (freeAtMs - nowMs > farOffMs ? holdPatienceMs : passedAgainMs * 2 ** step.timesPassed);
+/** Local time from which a reservation that is overridden now may be overridden again. */
+const nextOverrideAtMs = ({ step, freeAtMs }: Reservation, nowMs: number): number =>
+    nowMs + (freeAtMs - nowMs > distantStartMs ? maxBlockedMs : overrideIntervalMs * 2 ** step.timesPassed);
 
-/** Whether a task does no harm in kept room: it ends before, or is stopped then and has got on by then. */
-const mayPass = (step: ShardStep, kept: Reservation, nowMs: number): boolean => {
-    const leftMs = kept.freeAtMs - nowMs;
+/**
+ * Whether a task may use reserved capacity until it is needed: it ends before, or makes progress and can be stopped then for
+ * the more urgent step.
+ */
+const canBackfill = (step: ShardStep, reservation: Reservation, nowMs: number): boolean => {
+    const leftMs = reservation.freeAtMs - nowMs;
     const { estimateMs, longRunning } = step.spec;
     const endsBefore = !longRunning && estimateMs > 0 && estimateMargin * estimateMs <= leftMs;
-    return endsBefore || isPreemptible(step) && priorityOf(step) > priorityOf(kept.step) && leftMs >= progressMs;
+    return endsBefore
+        || isPreemptible(step) && priorityOf(step) > priorityOf(reservation.step) && leftMs >= minProgressMs;
 };
 
 /**
- * Makes the view of one pass; nothing is kept before.
+ * Creates the view of one pass, without reservations.
  *
  * @example
- * const view = createRoomView(clock.monotonicMs());
- * view.roomFor(worker, step);
+ * const view = createCapacityView(clock.monotonicMs());
+ * view.capacityFor(worker, step);
  */
 export const createRoomView = (nowMs: number): RoomView => {
-    const byWorker = new Map<string, Reservation[]>();
-    const keptFor = (worker: ShardWorker): readonly Reservation[] => byWorker.get(worker.workerId) ?? [];
+    const reservationsByWorker = new Map<string, Reservation[]>();
+    const reservationsOn = (worker: ShardWorker): readonly Reservation[] =>
+        reservationsByWorker.get(worker.workerId) ?? [];
     return {
         keep: reservation => {
-            const known = byWorker.get(reservation.workerId);
-            if (known === undefined) {
-                byWorker.set(reservation.workerId, [reservation]);
+            const existing = reservationsByWorker.get(reservation.workerId);
+            if (existing === undefined) {
+                reservationsByWorker.set(reservation.workerId, [reservation]);
             }
             else {
-                known.push(reservation);
+                existing.push(reservation);
             }
         },
         roomFor: (worker, step, aheadMs = 0) => {
             let room = roomOf(worker);
-            for (const kept of keptFor(worker)) {
-                if (kept.step !== step && !mayPass(step, kept, nowMs) && !mayTake(step, kept, nowMs + aheadMs)) {
-                    room = subtract(room, kept.held);
+            for (const reservation of reservationsOn(worker)) {
+                if (
+                    reservation.step !== step && !canBackfill(step, reservation, nowMs)
+                    && !mayOverride(step, reservation, nowMs + aheadMs)
+                ) {
+                    room = subtract(room, reservation.held);
                 }
             }
             return room;
         },
-        tookRoom: (worker, step) => {
-            const others = keptFor(worker).filter(kept => kept.step !== step && !mayPass(step, kept, nowMs));
-            const held = others.reduce((sum, kept) => add(sum, kept.held), noResources);
+        recordPlacement: (worker, step) => {
+            const others = reservationsOn(worker).filter(reservation =>
+                reservation.step !== step && !canBackfill(step, reservation, nowMs)
+            );
+            const held = others.reduce((sum, reservation) => add(sum, reservation.held), noResources);
             if (fits(held, roomOf(worker))) {
                 return;
             }
-            for (const kept of others.filter(each => each.step.passableAtMs <= nowMs)) {
-                kept.step.passableAtMs = nextPassAtMs(kept, nowMs);
-                kept.step.timesPassed += 1;
+            for (const reservation of others.filter(reservation => reservation.step.passableAtMs <= nowMs)) {
+                reservation.step.passableAtMs = nextOverrideAtMs(reservation, nowMs);
+                reservation.step.timesPassed += 1;
             }
         },
-        takesKept: (worker, step) => step.spec.longRunning && keptFor(worker).some(kept => kept.step !== step),
+        occupiesReserved: (worker, step) =>
+            step.spec.longRunning && reservationsOn(worker).some(reservation => reservation.step !== step),
     };
 };
--- a/packages/puffinarch/src/core/shard/taskWait.ts
+++ b/packages/puffinarch/src/core/shard/taskWait.ts
@@ -1,108 +1,116 @@
-/** What an accepted task that does not run waits for: one of a closed list of events, each with a bound on the wait. */
+/** Classifies what an accepted task that does not run waits for, with an expected upper bound for each kind of wait. */
 
 import { fits } from "../../types/resources.js";
 import { avoidedBy, avoidedByAll, awaitedBy } from "./avoidance.js";
 import { needsTrial } from "./crashes.js";
-import { allowsAnother, countRuns, isAtCap, placesIn, placesNeeded, suits, ticketFor } from "./eligible.js";
+import { allowsAnother, countRuns, isAtCap, isEligible, placesIn, placesNeeded, ticketFor } from "./eligible.js";
 import { hasEnded, heldBy, isReady, isWaiting, runPhases, type ShardStep, type ShardTask } from "./jobBook.js";
 import { isKeptFrom, startable } from "./trials.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
-/** Events that a task can wait for once its turn has come. */
+/** Events that a task can wait for once its step is ready. */
 export const taskWaits = {
-    /** The intent of its start is to become durable. */
+    /** The commit of its planned start. */
     commit: "commit",
-    /** A worker is to answer the order that starts it. */
+    /** A worker's answer to its start order. */
     startAnswer: "startAnswer",
-    /** A run that was stopped is to end. */
+    /** The end of its run that is being stopped. */
     stopEnd: "stopEnd",
-    /** Other members of its gang are to end, since all start at once. */
+    /** The end of runs of other members of its gang, since all members start together. */
     members: "members",
-    /** A worker that could run it is to be listed. */
+    /** The listing of a worker that could run it. */
     listing: "listing",
-    /** A worker that could run it is to answer, or to end its rest. */
+    /** Workers that could run it, but do not answer, are resting or leaving, or have not yet reported what they run. */
     workers: "workers",
-    /** The advisor is to answer. */
+    /** The advisor's answer. */
     advice: "advice",
-    /** The advisor is to be asked about workers that are open, or to allow one. */
+    /** A call to the advisor about available workers, or its approval of one. */
     ticket: "ticket",
-    /** Runs are to end on a worker that it may use. */
+    /** The end of runs on a worker that it may use. */
     room: "room",
-    /** Runs of its organisation are to end, which has all that its cap allows. */
+    /** The end of runs of its organisation, which uses all that its cap allows. */
     cap: "cap",
-    /** Workers crashed under its step: one task of it is to be at work first, or it is to have a worker for itself. */
+    /** A trial after crashes of workers: another task of its step has to run first, or it needs a worker for itself. */
     trial: "trial",
-    /** It failed lately on the workers with room, and another one is to have some. */
+    /** Capacity on another worker than those on which it failed recently. */
     untried: "untried",
-    /** A worker has room for it: a pass is to place it, once no room is kept for others or, of a gang, all have some. */
+    /** A pass that places it: workers have capacity for it, or for its whole gang, which may be reserved for other steps. */
     turn: "turn",
 } as const;
 /** One of `taskWaits`. */
 export type TaskWait = (typeof taskWaits)[keyof typeof taskWaits];
 
-/** How long each wait may last in milliseconds before it is worth a log line. */
+/** Duration in milliseconds after which each kind of wait is logged. */
 export const waitBoundsMs: Readonly<Record<TaskWait, number>> = {
     /** The store answers within 10 ms; an outage is logged by the commit log. */
     commit: 2_000,
-    /** A start without an answer is given up after 2 s, and is gone once its lease of 5 s would be over. */
+    /** A start without an answer is given up after 2 s, and a run that it may have begun is gone once its lease of 5 s has expired. */
     startAnswer: 9_000,
     /** A stop takes up to 0.9 s. */
     stopEnd: 3_000,
-    /** The longest of a stop and of a gang's wait for its members. */
+    /** The longest time for a stop and for a gang's wait for its members. */
     members: 5_000,
-    /** Entries are back 2 s after the store is. */
+    /** Workers are listed again within 2 s after the store has recovered. */
     listing: 3_000,
-    /** A lease, with the time for which a former owner may have renewed it. */
+    /** The duration of a lease and the time for which a former owner may have renewed it. */
     workers: 8_000,
-    /** Calls that have waited for 2 s are taken out of turn. */
+    /** Calls that have waited for 2 s may be served before more urgent ones. */
     advice: 4_000,
     /** A new call follows an answer within 0.2 s. */
     ticket: 3_000,
-    /** Under load the wait for room is usual. */
+    /** Waits for capacity are usual under load. */
     room: 10_000,
-    /** The same for what an organisation sends beyond its cap. */
+    /** Waits are usual for jobs that an organisation submits beyond its cap. */
     cap: 10_000,
-    /** Only the last attempt of a task keeps off a worker for longer than 2 s. */
+    /** Only the last attempt of a task avoids a worker for longer than 2 s. */
     untried: 3_000,
-    /** Each task of a step in turn may take a worker down for some seconds. */
+    /** Each task of a step, one after the other, may crash a worker, which is then away for some seconds. */
     trial: 10_000,
-    /** Passes follow within milliseconds of a change, and more slowly where many steps wait. */
+    /** A pass follows a change within milliseconds, or later where many steps wait. */
     turn: 3_000,
 };
 
-/** How a worker stands towards a step that waits; the first that applies. */
+/** Why a worker can or cannot take a task of a waiting step now; the first state that applies. */
 export const workerStands = [
+    /** Missing from the platform's list of workers, or never listed to this owner. */
     "unlisted",
+    /** Draining, or its VM is about to go down. */
     "leaving",
+    /** Has not yet reported its runs to this owner. */
     "uncertain",
+    /** Did not answer the newest poll. */
     "silent",
+    /** Gets no new work for a while after failures, or is reserved for the trial of another job's task. */
     "resting",
+    /** Not approved by the advisor. */
     "barred",
+    /** Has no free capacity for a task, or as many of the step's runs as it may have. */
     "full",
+    /** Avoided by all waiting tasks of the step, which failed there. */
     "avoided",
     "noTicket",
     "free",
 ] as const;
-/** One of `workerStands`. */
+/** One of `workerAvailabilities`. */
 export type WorkerStand = (typeof workerStands)[number];
 
-/** How many of the workers that could run a step stand in each way. */
+/** Number of the workers that could run a step, by state. */
 export type StandCounts = Readonly<Record<WorkerStand, number>>;
 
-/** The workers, at one moment. */
+/** The workers and the local time for which they are examined. */
 export interface WorkersNow {
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly nowMs: number;
 }
 
-interface StandOptions extends WorkersNow {
-    /** Workers that all waiting tasks of the step keep off. */
+interface StateOptions extends WorkersNow {
+    /** Workers that all waiting tasks of the step avoid. */
     readonly avoided: ReadonlySet<string>;
     /** Live runs of the step on the worker. */
     readonly runsHere: number;
 }
 
-const standOf = (worker: ShardWorker, step: ShardStep, options: StandOptions): WorkerStand => {
+const stateOf = (worker: ShardWorker, step: ShardStep, options: StateOptions): WorkerStand => {
     const { runsHere, avoided, workers, nowMs } = options;
     if (worker.entry.draining || worker.cordoned) {
         return "leaving";
@@ -126,26 +134,26 @@
     if (!allowsAnother(step.spec, runsHere) || !fits(heldBy(step.spec), roomOf(worker))) {
         return "full";
     }
-    // The advisor is not asked about workers that the step keeps off, so that they have no ticket for that reason.
+    // This comes before `noTicket`, since the advisor is not asked about workers that the step avoids.
     if (avoided.has(worker.workerId)) {
         return "avoided";
     }
     return ticketFor(step, worker.workerId, nowMs) === undefined ? "noTicket" : "free";
 };
 
-/** How each worker stands towards a step. */
-const standingOf = (step: ShardStep, now: WorkersNow): (worker: ShardWorker) => WorkerStand => {
+/** Creates a function that gives the state of a worker for a step. */
+const createClassifier = (step: ShardStep, now: WorkersNow): (worker: ShardWorker) => WorkerStand => {
     const runs = countRuns(step);
     const avoided = avoidedByAll(step, now);
-    return worker => standOf(worker, step, { ...now, runsHere: runs.get(worker.workerId) ?? 0, avoided });
+    return worker => stateOf(worker, step, { ...now, runsHere: runs.get(worker.workerId) ?? 0, avoided });
 };
 
 /**
- * Counts how the workers that could run a step stand towards it. A worker that was never listed to this owner counts as
- * unlisted, since nobody knows what it could run.
+ * Counts the workers that could run a step by their state. A worker that was never listed to this owner counts as unlisted,
+ * since its service and capacity are not known.
  *
  * @example
- * countStands(step, { workers, nowMs: clock.monotonicMs() }).silent;
+ * countAvailabilities(step, { workers, nowMs: clock.monotonicMs() }).silent;
  */
 export const countStands = (step: ShardStep, now: WorkersNow): StandCounts => {
     const counts = {
@@ -160,37 +168,37 @@
         noTicket: 0,
         free: 0,
     };
-    const standing = standingOf(step, now);
+    const classify = createClassifier(step, now);
     for (const worker of now.workers.values()) {
         if (worker.entry.service === "") {
             counts.unlisted += 1;
         }
-        else if (suits(worker, step)) {
-            counts[standing(worker)] += 1;
+        else if (isEligible(worker, step)) {
+            counts[classify(worker)] += 1;
         }
     }
     return counts;
 };
 
-/** Whether workers that stand in one of these ways hold what has to start at once. */
-const fitsOn = (stands: readonly WorkerStand[], step: ShardStep, now: WorkersNow): boolean => {
-    const standing = standingOf(step, now);
+/** Whether the workers in one of these states have capacity for all tasks that must start together. */
+const haveCapacity = (states: readonly WorkerStand[], step: ShardStep, now: WorkersNow): boolean => {
+    const classify = createClassifier(step, now);
     const runs = countRuns(step);
     let needed = placesNeeded(step);
     for (const worker of now.workers.values()) {
-        if (suits(worker, step) && stands.includes(standing(worker))) {
+        if (isEligible(worker, step) && states.includes(classify(worker))) {
             needed -= placesIn(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
         }
     }
     return needed <= 0;
 };
 
-const waitForWorker = (step: ShardStep, counts: StandCounts, now: WorkersNow): TaskWait => {
+const workerWaitOf = (step: ShardStep, counts: StandCounts, now: WorkersNow): TaskWait => {
     const { advice } = step;
-    if (counts.free > 0 && fitsOn(["free"], step, now)) {
+    if (counts.free > 0 && haveCapacity(["free"], step, now)) {
         return taskWaits.turn;
     }
-    if (counts.avoided > 0 && !fitsOn(["free", "noTicket"], step, now)) {
+    if (counts.avoided > 0 && !haveCapacity(["free", "noTicket"], step, now)) {
         return taskWaits.untried;
     }
     if (advice.inFlight) {
@@ -208,33 +216,35 @@
     return counts.barred > 0 ? taskWaits.ticket : taskWaits.listing;
 };
 
-/** Workers that are named as awaited. */
-const mostAwaited = 3;
+/** Maximum number of awaited workers named in a description. */
+const maxAwaitedNames = 3;
 
 /**
- * Tells which workers a task keeps off since they failed it, for how much longer, and for the sake of which others; empty
- * where it keeps off none.
+ * Describes which workers a task avoids since they failed it, for how much longer, and which others it waits for; empty where
+ * it avoids none.
  *
  * @example
- * describeAvoided(task, { workers, nowMs }); // "keeps off i-7f3a91c2 for 812 ms; awaits i-20bd11e9 full"
+ * describeAvoided(task, { workers, nowMs }); // "avoids i-7f3a91c2 for 812 ms; awaits i-20bd11e9 full"
  */
 export const describeAvoided = (task: ShardTask, now: WorkersNow): string => {
     const avoided = [...avoidedBy(task, now)];
     if (avoided.length === 0) {
         return "";
     }
-    const standing = standingOf(task.step, now);
-    const awaited = awaitedBy(task, now).slice(0, mostAwaited).map(worker => `${worker.workerId} ${standing(worker)}`);
+    const classify = createClassifier(task.step, now);
+    const awaited = awaitedBy(task, now).slice(0, maxAwaitedNames).map(worker =>
+        `${worker.workerId} ${classify(worker)}`
+    );
     const times = avoided.map(([workerId, untilMs]) => `${workerId} for ${Math.round(untilMs - now.nowMs)} ms`);
-    return `keeps off ${times.join(", ")}; awaits ${awaited.join(", ") || "none"}`;
+    return `avoids ${times.join(", ")}; awaits ${awaited.join(", ") || "none"}`;
 };
 
 /**
- * Tells whether an accepted task ought to run and does not: its turn has come, it is not done, and no worker shows it at
- * work.
+ * Tells whether an accepted task should run and does not: its step is ready, it is not done, and no worker reports it as
+ * running.
  *
  * @example
- * isDue(task); // false while a step before its own is open
+ * awaitsStart(task); // false while a predecessor of its step is not done
  */
 export const isDue = (task: ShardTask): boolean => {
     const { step } = task;
@@ -244,10 +254,10 @@
 };
 
 /**
- * Names what a task that is due waits for.
+ * Gives what a task for which `awaitsStart` holds waits for.
  *
  * @example
- * if (isDue(task)) { taskWaitOf(task, countStands(task.step, { workers, nowMs }), { workers, nowMs }); } // "room"
+ * if (awaitsStart(task)) { taskWaitOf(task, countAvailabilities(task.step, { workers, nowMs }), { workers, nowMs }); } // "room"
  */
 export const taskWaitOf = (task: ShardTask, counts: StandCounts, now: WorkersNow): TaskWait => {
     const { step, runs } = task;
@@ -266,5 +276,5 @@
     if (needsTrial(task) || !startable(step, step.tasks.filter(isWaiting), now).includes(task)) {
         return taskWaits.trial;
     }
-    return isAtCap(step) ? taskWaits.cap : waitForWorker(step, counts, now);
+    return isAtCap(step) ? taskWaits.cap : workerWaitOf(step, counts, now);
 };
--- a/packages/puffinarch/src/core/shard/urgency.ts
+++ b/packages/puffinarch/src/core/shard/urgency.ts
@@ -1,25 +1,25 @@
-/** How urgent a step is: when its job is due by its queue's objective, and whether that can still be met. */
+/** Scheduling order of steps: when a job is due by the objective of its queue, and whether it can still meet it. */
 
 import type { Clock } from "../../types/ports.js";
 import type { Resources } from "../../types/resources.js";
 import { newAccount, tasksUnderCap } from "./accounts.js";
-import { suits } from "./eligible.js";
+import { isEligible } from "./eligible.js";
 import { heldBy, type ShardOccurrence, type ShardStep } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** What a step's callers still get out of it. */
+/** Whether the job of a step can still end in time to be of value to its caller. */
 export const standings = {
     /** The job may still end within its objective. */
     onTime: "onTime",
-    /** It ends after its objective, which callers value at a fifth. */
+    /** The job ends after its objective; callers value that at a fifth. */
     late: "late",
-    /** Nobody waits for it any more; it runs all the same, since it was accepted. */
+    /** The job ends too late to be of any value; it runs all the same, since it was accepted. */
     overdue: "overdue",
 } as const;
 /** One of `standings`. */
 export type Standing = (typeof standings)[keyof typeof standings];
 
-/** A step with what decides on its turn. */
+/** A step with what decides on its place in the scheduling order. */
 export interface RankedStep {
     readonly step: ShardStep;
     readonly standing: Standing;
@@ -27,23 +27,24 @@
     readonly dueAtMs: number;
 }
 
-/** The platform's objective counts a call to the advisor about this many workers for each step. */
-const namesInObjective = 30;
+/** Number of workers in the one call to the advisor that the platform's objective includes for each step. */
+const advisedWorkersInObjective = 30;
 /**
- * The platform's objective counts a step in waves, each of this share of the tasks that the service could hold, and of no more
- * than its organisation's cap allows.
+ * The platform's objective assumes that a step runs in waves. A wave has this share of the tasks that all eligible workers could
+ * hold, and no more than the cap of the organisation allows.
  */
 const waveShare = 0.25;
-/** Up to this many times its objective a job is late; after that it is worth nothing to its caller. */
+/** A job that ends within this many times its objective is late; after that it is of no value to its caller. */
 const lateFactor = 3;
 /**
- * A job is taken to need this share of its estimate. Below 1, an overload is spent on jobs that miss their objective by a
- * little: at 1.04 times the room of 60 workers 76 of 205 checks were in time with 0.7, 117 with 1 and 149 with 1.2.
+ * Factor on the estimated remaining time of a job when its end is predicted. A smaller factor spends the capacity of an
+ * overloaded shard on jobs that just miss their objective: with 60 workers at 1.04 times their capacity, 76 of 205 checks
+ * were in time with 0.7, 117 with 1 and 149 with 1.2.
  */
-const neededShare = 1.1;
+const remainingTimeFactor = 1.1;
 
 /** How many tasks of a size an empty worker holds. */
-const tasksOn = (held: Resources, capacity: Resources): number => {
+const tasksPerWorker = (held: Resources, capacity: Resources): number => {
     let least = Infinity;
     for (const name of ["cpuMillis", "memoryMib", "accelerators"] as const) {
         if (held[name] > 0) {
@@ -55,45 +56,47 @@
 
 const wavesOf = (step: ShardStep, workers: ReadonlyMap<string, ShardWorker>): number => {
     const held = heldBy(step.spec);
-    let room = 0;
+    let maxTasks = 0;
     for (const worker of workers.values()) {
-        if (suits(worker, step)) {
-            room += tasksOn(held, worker.entry.capacity);
+        if (isEligible(worker, step)) {
+            maxTasks += tasksPerWorker(held, worker.entry.capacity);
         }
     }
     const { organisation, cap } = step.occurrence.job.account;
-    const mostAtOnce = Math.min(waveShare * room, tasksUnderCap(newAccount(organisation, cap), held));
-    return room === 0 ? 1 : Math.max(1, Math.ceil(step.spec.count / Math.max(1, mostAtOnce)));
+    const maxConcurrent = Math.min(waveShare * maxTasks, tasksUnderCap(newAccount(organisation, cap), held));
+    return maxTasks === 0 ? 1 : Math.max(1, Math.ceil(step.spec.count / Math.max(1, maxConcurrent)));
 };
 
-/** Computes the objective of an occurrence, and how much work follows from the start of each of its steps on. */
+/** Computes the objective of an occurrence, and for each step the longest path of work from its start to the end. */
 const setCourse = (occurrence: ShardOccurrence, workers: ReadonlyMap<string, ShardWorker>): void => {
     const { steps, job } = occurrence;
     const { advice, stretch, targetRuntimeMs } = job.queue;
-    const adviceMs = advice === undefined ? 0 : advice.decideMs + namesInObjective * advice.eachMs;
+    const adviceMs = advice === undefined ? 0 : advice.decideMs + advisedWorkersInObjective * advice.eachMs;
     const lengthsMs = steps.map(step => adviceMs + wavesOf(step, workers) * step.spec.estimateMs);
     const headsMs: number[] = [];
     for (const [index, step] of steps.entries()) {
-        headsMs.push((lengthsMs[index] ?? 0) + Math.max(0, ...step.spec.after.map(before => headsMs[before] ?? 0)));
+        headsMs.push(
+            (lengthsMs[index] ?? 0) + Math.max(0, ...step.spec.after.map(predecessor => headsMs[predecessor] ?? 0)),
+        );
     }
     const tailsMs = [...lengthsMs];
     for (const [index, step] of [...steps.entries()].reverse()) {
-        for (const before of step.spec.after) {
-            const throughMs = (lengthsMs[before] ?? 0) + (tailsMs[index] ?? 0);
-            tailsMs[before] = Math.max(tailsMs[before] ?? 0, throughMs);
+        for (const predecessor of step.spec.after) {
+            const pathMs = (lengthsMs[predecessor] ?? 0) + (tailsMs[index] ?? 0);
+            tailsMs[predecessor] = Math.max(tailsMs[predecessor] ?? 0, pathMs);
         }
     }
     const objectiveMs = stretch === 0 ? Infinity : stretch * Math.max(0, ...headsMs) + targetRuntimeMs;
     occurrence.course = { objectiveMs, tailsMs };
 };
 
-const beginOf = ({ job, number }: ShardOccurrence): number => {
+const startOf = ({ job, number }: ShardOccurrence): number => {
     const { startAtMs, intervalMs, repeatCount } = job.submission.schedule;
     return repeatCount === 0 ? job.acceptedAtMs : startAtMs + number * intervalMs;
 };
 
 /**
- * Tells when a step's job is due and whether it can still be in time.
+ * Gives when the job of a step is due and whether it can still end in time.
  *
  * @example
  * rankStep(step, workers, clock.nowMs()).standing; // "onTime"
@@ -111,17 +114,17 @@
     if (course === undefined || spec.longRunning || !Number.isFinite(course.objectiveMs)) {
         return { step, standing: standings.onTime, dueAtMs: Infinity };
     }
-    const beginMs = beginOf(occurrence);
-    const dueAtMs = beginMs + course.objectiveMs;
-    const endsAtMs = wallMs + neededShare * (course.tailsMs[number] ?? 0);
+    const startMs = startOf(occurrence);
+    const dueAtMs = startMs + course.objectiveMs;
+    const endsAtMs = wallMs + remainingTimeFactor * (course.tailsMs[number] ?? 0);
     if (endsAtMs <= dueAtMs) {
         return { step, standing: standings.onTime, dueAtMs };
     }
-    const standing = endsAtMs <= beginMs + lateFactor * course.objectiveMs ? standings.late : standings.overdue;
+    const standing = endsAtMs <= startMs + lateFactor * course.objectiveMs ? standings.late : standings.overdue;
     return { step, standing, dueAtMs };
 };
 
-const turnOf: Readonly<Record<Standing, number>> = { onTime: 0, late: 1, overdue: 2 };
+const standingRanks: Readonly<Record<Standing, number>> = { onTime: 0, late: 1, overdue: 2 };
 
 const byPriority = ({ step: left }: RankedStep, { step: right }: RankedStep): number =>
     left.occurrence.job.queue.priority - right.occurrence.job.queue.priority;
@@ -135,29 +138,29 @@
 const byShare = ({ step: left }: RankedStep, { step: right }: RankedStep): number =>
     Number(left.occurrence.job.beyondShare) - Number(right.occurrence.job.beyondShare);
 
-const byDueTurn = (left: RankedStep, right: RankedStep): number =>
-    byPriority(left, right) || turnOf[left.standing] - turnOf[right.standing] || byDue(left, right)
+const byDueOrder = (left: RankedStep, right: RankedStep): number =>
+    byPriority(left, right) || standingRanks[left.standing] - standingRanks[right.standing] || byDue(left, right)
     || byAcceptance(left, right);
 
-/** Orders in which waiting steps take their turn. */
+/** Scheduling orders of waiting steps, as compare functions. */
 export const turnOrders = {
-    /** First come, first served, within a priority. */
+    /** By priority, then first come, first served. */
     acceptance: (left: RankedStep, right: RankedStep): number => byPriority(left, right) || byAcceptance(left, right),
     /**
-     * Within a priority, earliest due first among those that can still be in time, and those that cannot after them: under
-     * overload, first come, first served lets a backlog make every later job late as well.
+     * By priority, then those that can still be in time before those that cannot, then earliest due first. Under overload,
+     * first come, first served would let a backlog make every later job late as well.
      */
-    due: byDueTurn,
-    /** The same, with jobs that an organisation submitted beyond its share behind all others, of whatever priority. */
-    shares: (left: RankedStep, right: RankedStep): number => byShare(left, right) || byDueTurn(left, right),
-    /** The same, with them behind the others of their priority. */
+    due: byDueOrder,
+    /** As `due`, but jobs that an organisation submitted beyond its share come after all others, whatever their priority. */
+    shares: (left: RankedStep, right: RankedStep): number => byShare(left, right) || byDueOrder(left, right),
+    /** As `due`, but jobs beyond the share of their organisation come after the others of the same priority. */
     sharesWithinPriority: (left: RankedStep, right: RankedStep): number =>
-        byPriority(left, right) || byShare(left, right) || byDueTurn(left, right),
+        byPriority(left, right) || byShare(left, right) || byDueOrder(left, right),
 } as const;
-/** Name of an order of turns. */
+/** Name of a scheduling order. */
 export type TurnOrder = keyof typeof turnOrders;
 
-/** Ranks steps and puts them in the order of their turns. */
+/** Clock, workers and scheduling order by which steps are sorted. */
 export interface TurnOptions {
     readonly clock: Clock;
     readonly workers: ReadonlyMap<string, ShardWorker>;
@@ -165,10 +168,10 @@
 }
 
 /**
- * Puts waiting steps in the order of their turns.
+ * Ranks waiting steps and sorts them by a scheduling order.
  *
  * @example
- * inTurn(ready, { clock, workers, order: "due" });
+ * inSchedulingOrder(ready, { clock, workers, order: "due" });
  */
 export const inTurn = (steps: Iterable<ShardStep>, { clock, workers, order }: TurnOptions): readonly RankedStep[] => {
     const wallMs = clock.nowMs();
