--- a/packages/puffinarch/src/core/shard/shardWorkers.ts
+++ b/packages/puffinarch/src/core/shard/shardWorkers.ts
@@ -1,4 +1,4 @@
-/** The workers of a shard and what runs on them: links, looks, listings, draining, lost incarnations and leases that are over. */
+/** Manages the workers of a shard and their runs: links, looks, the platform's list, draining, restarted workers and expired leases. */
 
 import type { FencedWorkerPort } from "../../types/cellPorts.js";
 import type { Clock, Log, Meter } from "../../types/ports.js";
@@ -21,7 +21,7 @@
 import {
     adoptRun,
     dropRun,
-    hasLeft,
+    isLeaving,
     newWorker,
     runKey,
     type ShardWorker,
@@ -30,7 +30,7 @@
 } from "./workerTable.js";
 import { createWorkerWatch } from "./workerWatch.js";
 
-/** What the workers of a shard need. */
+/** What `createShardWorkers` needs. */
 export interface ShardWorkersOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -38,46 +38,52 @@
     readonly settings: ShardSettings;
     readonly port: FencedWorkerPort;
     readonly fencingToken: number;
-    /** The highest token that is surely this owner's now; `fencingToken` where it is left out. */
+    /** Highest token that surely belongs to this owner now; defaults to `fencingToken`. */
     readonly newestToken?: () => number;
     readonly jobOf: (jobId: string) => ShardJob | undefined;
-    /** The job changed; resolves once it is durable. */
+    /** Called when a job has changed; resolves once the change is durable. */
     readonly changed: (job: ShardJob) => Promise<void>;
-    /** A worker has started again: what steps and tasks know of it by its id was of the incarnation before. */
+    /** Called when a worker has restarted; what steps and tasks recorded under its id applied to the former incarnation. */
     readonly onNextIncarnation: (workerId: string) => void;
-    /** A task of the job runs. */
+    /** Called when a worker has confirmed the start of a task of the job. */
     readonly onStarted: (job: ShardJob) => void;
-    /** There may be room now. */
+    /** Called when capacity may have become free. */
     readonly wake: () => void;
-    /** Every worker that answers has shown what it runs; called once. */
+    /** Called once, when every worker that answers has reported its runs. */
     readonly onKnown: () => void;
-    /** A worker has seen a higher token. */
+    /** Called when a worker has rejected a call because it has seen another owner's higher token. */
     readonly onFenced: () => void;
 }
 
-/** The workers of a shard. */
+/** Tracks the workers of a shard and sends orders to them. */
 export interface ShardWorkers {
     readonly all: ReadonlyMap<string, ShardWorker>;
-    /** Runs whose intent a former owner made durable; each holds room until its worker's first look settles it. */
+    /** Adds runs whose intent a former owner made durable. Each holds capacity until its worker's first look settles it. */
     expect(runs: readonly StoredRun[]): void;
-    /** Runs that were lost under a former owner with workers that may have crashed. */
+    /** Adds losses that a former owner left unresolved: runs on workers that may have crashed. */
     recallLosses(losses: readonly RestoredLoss[]): void;
-    /** All workers that the platform lists now, and how old the list before may have been. */
+    /**
+     * Applies the platform's current list: all entries, the ids of workers whose entry cannot be read, and the age that the
+     * former list may have had.
+     */
     update(entries: readonly WorkerEntry[], unreadable?: ReadonlySet<string>, formerAgeMs?: number): void;
     start(run: ShardRun, ticket: string): void;
-    /** Stops a run, or lets go of one that was only planned. */
+    /** Stops a run; one that is only planned is dropped at once. */
     stop(run: ShardRun): void;
-    /** The worker's incarnation is surely over: nothing runs there any more. */
+    /** Ends a worker's incarnation, on which surely nothing runs any more. */
     lose(workerId: string, reason: string): void;
-    /** Looks for leases that are over by now. */
+    /** Drops runs whose leases have expired by now. */
     checkLeases(nowMs: number): void;
     close(): void;
 }
 
-/** An entry that is no older than this may be used on; with the time for which one that lapsed is, it stays below 4.5 s. */
-const trustedListMs = 2_000;
+/**
+ * Age up to which the former list counts as current. Together with the grace for unlisted workers, an entry is used for less
+ * than 4.5 s.
+ */
+const maxListingAgeMs = 2_000;
 
-/** Stands for a worker that has runs and is not listed: no order can reach it and nothing fits on it. */
+/** Placeholder entry of a worker that has runs but is not listed: no orders are sent to it and nothing fits on it. */
 const unlistedEntry: WorkerEntry = {
     workerId: "",
     service: "",
@@ -90,7 +96,7 @@
 };
 
 /**
- * Makes the workers of a shard; none is known before the first listing.
+ * Creates the manager of a shard's workers; it has none before the first list.
  *
  * @example
  * const workers = createShardWorkers({ clock, log, meter, settings, port, fencingToken, jobOf, changed, onNextIncarnation, onStarted, wake, onKnown, onFenced });
@@ -101,18 +107,18 @@
     const startedAtMs = clock.monotonicMs();
     const workers = new Map<string, ShardWorker>();
     const links = new Map<string, WorkerLink>();
-    /** Incarnations that are over, by worker: when the last one of them began. Their entries may still be listed. */
+    /** When the newest ended incarnation of each worker began. Its entry may still be listed. */
     const endedIncarnations = new Map<string, number | undefined>();
     /** The platform's newest list. */
     let listing: ReadonlyMap<string, WorkerEntry> = new Map();
-    /** Runs whose intent is durable and whose worker has not been seen yet. */
-    const unseenRuns = new Map<string, StoredRun[]>();
+    /** Stored runs of workers that have not been added yet, by worker. */
+    const storedRunsByWorker = new Map<string, StoredRun[]>();
     const pacer = createPacer({ clock, log });
     const firstLooks = createFirstLooks(clock);
     const delayedStarts = createDelayedStarts(clock);
     const lookSlots = createLookSlots(clock);
-    const touched = new Set<ShardJob>();
-    const lostRuns = createLostRuns(job => touched.add(job));
+    const changedJobs = new Set<ShardJob>();
+    const lostRuns = createLostRuns(job => changedJobs.add(job));
     const correlatedCrashes = createCorrelatedCrashes();
 
     const stopRun = (run: ShardRun): void => {
@@ -126,7 +132,7 @@
         }
     };
 
-    /** The other members of a gang would hold their room until they give up waiting for the one that does not come. */
+    /** Stops the other members of the run's gang, which would hold their capacity until they time out waiting for this one. */
     const stopRestOfGang = ({ task: { step }, run }: ShardRun): void => {
         const members = step.spec.gang ? step.tasks : [];
         for (const other of members.flatMap(({ runs }) => runs).filter(each => each.run === run)) {
@@ -139,26 +145,26 @@
         log,
         meter,
         jobOf,
-        onChange: job => touched.add(job),
+        onChange: job => changedJobs.add(job),
         othersAt: correlatedCrashes.othersAt,
         stop: (worker, run) => links.get(worker.workerId)?.stop(run),
         onStuck: (worker, run) => {
             worker.avoidUntilMs = Math.max(worker.avoidUntilMs, clock.monotonicMs() + settings.stuckWorkerRestMs);
             links.get(worker.workerId)?.stop(run);
         },
-        // This incarnation refuses it by its fencing token, which the next one will not know.
+        // This incarnation rejects the late order by its fencing token, but the next one will not know that token.
         onFormerGone: ({ workerId }, { task, run }) => delayedStarts.note(workerId, { taskName: task.name, run }),
         onStartLost: stopRestOfGang,
         onAbsent: (worker, run) => {
             probe(worker, { taskName: run.task.name, run: run.run });
-            // What came meanwhile is shown by a look after that time, and by no earlier one.
+            // The order may be carried out until then, so only a look after that time shows whether it was.
             const leftMs = (run.mayArriveUntilMs ?? 0) - clock.monotonicMs();
             clock.setTimer(leftMs + 1, () => links.get(worker.workerId)?.look());
         },
         stopUnknown: (worker, taskName, run) => links.get(worker.workerId)?.stopUnknown(taskName, run),
     });
 
-    /** One order at a time finds out whether a worker takes orders again. */
+    /** Tests with one order at a time whether a worker takes orders again. */
     const probe = (worker: ShardWorker, order: DelayedStart): void => {
         if (worker.unansweredOrder === undefined) {
             worker.unansweredOrder = order;
@@ -166,9 +172,9 @@
         }
     };
 
-    const commitTouched = (): Promise<unknown> => {
-        const all = [...touched].map(changed);
-        touched.clear();
+    const commitChangedJobs = (): Promise<unknown> => {
+        const all = [...changedJobs].map(changed);
+        changedJobs.clear();
         return Promise.all(all);
     };
 
@@ -178,15 +184,15 @@
         workers.delete(worker.workerId);
         log.write("info", "workerGone", { ...incarnationOf(worker), reason, runs: worker.runs.size });
         const crashed = watch.loseRuns(worker, reason);
-        void commitTouched();
+        void commitChangedJobs();
         return crashed;
     };
 
-    /** Counts what an incarnation may have crashed by. */
+    /** Counts a crash for each run that may have caused it, unless the worker went down as planned. */
     const countCrashes = (worker: ShardWorker, crashed: readonly CrashedRun[]): void => {
-        if (!hasLeft(worker)) {
+        if (!isLeaving(worker)) {
             watch.countCrashes(worker.workerId, crashed);
-            void commitTouched();
+            void commitChangedJobs();
         }
     };
 
@@ -195,15 +201,18 @@
         countCrashes(worker, [...crashed, ...lostRuns.replaced(worker.entry.address, "")]);
     };
 
-    /** The worker's incarnation is over: what is still listed of it is an entry that has yet to lapse, or to tell of the next one. */
+    /**
+     * Ends an incarnation and remembers it, since its entry may stay listed until it expires or that of the next incarnation
+     * replaces it.
+     */
     const loseWorker = (worker: ShardWorker, reason: string): void => {
         endedIncarnations.set(worker.workerId, worker.bornAtMs ?? worker.entry.bornAtMs);
         endIncarnation(worker, reason);
     };
 
     /**
-     * The same worker answers as another incarnation: what the one before had is over with it, and nothing known of it holds on. Nothing is
-     * started in place of the runs that this one may have before it has shown, or refused, them.
+     * Replaces the state of a worker that answers as another incarnation. Runs of the former incarnation are over, except
+     * those that the new one may have; these are not started elsewhere until the new one has listed or rejected them.
      */
     const beginNextIncarnation = (former: ShardWorker, bornAtMs: number | undefined): void => {
         const { workerId } = former;
@@ -216,16 +225,17 @@
             runs: former.runs.size,
         });
         if (former.silentSinceMs === undefined) {
-            // It was back before a look could fail.
+            // The worker restarted before a look failed, so its crash has not been recorded yet.
             correlatedCrashes.note(former, nowMs, crashedRuns(former, nowMs));
         }
         const left = leaveIncarnation(former, delayedStarts, nowMs);
         dropWorker(former, "otherIncarnation");
         countCrashes(former, [...left.suspects, ...lostRuns.replaced(former.entry.address, "")]);
-        const next = enterIncarnation(former, hasLeft(former) ? { ...left, undecided: [] } : left, {
+        const next = enterIncarnation(former, isLeaving(former) ? { ...left, undecided: [] } : left, {
             bornAtMs,
             listed: listing.get(workerId),
-            // Deadlines on the clock of the incarnation before may have reached this one, whose clock has begun anew.
+            // Late orders for the former incarnation may have reached this one. Their deadlines are on the former clock, so
+            // each may give the longest lease that a worker grants.
             horizonMs: nowMs + settings.leaseLimitMs / slowestClockRate,
             nowMs,
         });
@@ -245,14 +255,14 @@
         wake();
     };
 
-    /** Runs of a silent worker whose leases are over: whether it crashed is known once something answers at its address. */
-    const loseSilent = (worker: ShardWorker, reason: string, runs: readonly ShardRun[]): void => {
+    /** Drops runs of a silent worker whose leases are over. Whether it crashed is known once an incarnation answers at its address. */
+    const expireRuns = (worker: ShardWorker, reason: string, runs: readonly ShardRun[]): void => {
         const crashed = watch.loseRuns(worker, reason, runs).filter(({ task, run }) =>
             !worker.undecided.has(runKey(task.name, run))
         );
         countCrashes(worker, [...worker.undecided.values()]);
         worker.undecided.clear();
-        if (!hasLeft(worker)) {
+        if (!isLeaving(worker)) {
             const { workerId, entry: { address } } = worker;
             lostRuns.lose({ workerId, address }, crashed, clock.monotonicMs());
         }
@@ -260,8 +270,8 @@
 
     let allKnown = false;
 
-    /** Tells once, after a takeover, when every worker that answers has shown what it runs. */
-    const noteKnown = (): void => {
+    /** Reports once, after a takeover, that every worker that answers has listed its runs. */
+    const reportAllKnown = (): void => {
         if (
             allKnown || links.size === 0
             || [...workers.values()].some(worker => !worker.certain && worker.silentLooks === 0)
@@ -299,13 +309,13 @@
                 correlatedCrashes.answered(seen);
                 const newest = watch.take(seen, look, sentAtMs);
                 pacer.review(seen, (run, percent) => links.get(seen.workerId)?.pace(run, percent));
-                // A look may list ends again whose commit, begun by an earlier look, is still under way.
-                const written = Promise.all([seen.endsWritten, commitTouched()]).then(() => {
+                // A look may list ends again that an earlier look brought and that are still being committed.
+                const written = Promise.all([seen.endsWritten, commitChangedJobs()]).then(() => {
                     seen.acknowledgedEnd = Math.max(seen.acknowledgedEnd, newest);
                 });
                 seen.endsWritten = written;
                 if (!wasCertain) {
-                    noteKnown();
+                    reportAllKnown();
                     wake();
                 }
                 if (look.ended.length > 0) {
@@ -315,12 +325,13 @@
             onSilent: silent => {
                 const nowMs = clock.monotonicMs();
                 const crashed = crashedRuns(silent, nowMs);
-                // All that are silent from the start of an office are noticed at one moment.
+                // Workers that are silent from the takeover on are all noticed at the same moment, which does not show when
+                // they failed.
                 if (silent.certain) {
                     correlatedCrashes.note(silent, nowMs, crashed);
                 }
-                noteConfirmed(crashed).forEach(job => touched.add(job));
-                void commitTouched();
+                noteConfirmed(crashed).forEach(job => changedJobs.add(job));
+                void commitChangedJobs();
             },
             onIncarnationOver: gone => loseWorker(gone, "otherIncarnation"),
             onRestarted: beginNextIncarnation,
@@ -343,7 +354,7 @@
                 run.startedAtMs = clock.monotonicMs();
                 options.onStarted(run.task.step.occurrence.job);
                 if (holder.entry.draining) {
-                    leaveDraining(holder);
+                    evacuateDraining(holder);
                 }
             },
         });
@@ -355,8 +366,11 @@
         return link;
     };
 
-    /** Runs that would not end before a draining worker leaves move with their checkpoint. */
-    const leaveDraining = (worker: ShardWorker): void => {
+    /**
+     * Stops the long-running runs of a draining worker, and the checkpointing ones that would not end before it leaves, so
+     * that they resume elsewhere from their checkpoint.
+     */
+    const evacuateDraining = (worker: ShardWorker): void => {
         const remainingMs = worker.entry.drainRemainingMs ?? 0;
         for (const run of [...worker.runs.values()]) {
             const { spec } = run.task.step;
@@ -374,8 +388,8 @@
         }
     };
 
-    /** Puts a run whose intent was durable where its worker's first look will settle it. */
-    const attachStored = (
+    /** Adds a stored run to its worker, whose first look settles it. */
+    const restoreRun = (
         worker: ShardWorker,
         { taskName, run, bornAtMs, address, mayArriveUntilMs, absent, mayHaveCrashed, storedAtMs }: StoredRun,
     ): void => {
@@ -392,7 +406,8 @@
             mayHaveCrashed,
         });
         if (!holdsForOneIncarnation(entry, settings)) {
-            // The time of day may have been stepped since it was stored.
+            // The wall clock may have been stepped since the run was stored; counted from the takeover, the start can arrive
+            // for one full limit at most.
             const latestMs = startedAtMs + settings.unansweredStartMs;
             entry.mayArriveUntilMs = Math.min(latestMs, mayArriveUntilMs ?? storedAtMs + settings.unansweredStartMs);
         }
@@ -403,27 +418,27 @@
         }
     };
 
-    /** The longest lease that a former owner may have given, from now. */
-    const formerHorizonMs = (): number =>
+    /** Local time by which every lease that a former owner may have granted is over. */
+    const formerLeaseEndMs = (): number =>
         clock.monotonicMs() + settings.formerOwnerMs + settings.leaseMs / slowestClockRate;
 
     const addWorker = (entry: WorkerEntry, listed: boolean): ShardWorker => {
-        const worker = newWorker(entry, formerHorizonMs());
+        const worker = newWorker(entry, formerLeaseEndMs());
         worker.unlistedAtMs = listed ? undefined : clock.monotonicMs();
         workers.set(entry.workerId, worker);
-        for (const stored of unseenRuns.get(entry.workerId) ?? []) {
-            attachStored(worker, stored);
+        for (const stored of storedRunsByWorker.get(entry.workerId) ?? []) {
+            restoreRun(worker, stored);
         }
-        unseenRuns.delete(entry.workerId);
+        storedRunsByWorker.delete(entry.workerId);
         return worker;
     };
 
-    const isOver = ({ workerId, bornAtMs }: WorkerEntry): boolean =>
+    const hasEndedIncarnation = ({ workerId, bornAtMs }: WorkerEntry): boolean =>
         endedIncarnations.has(workerId) && !isOtherIncarnation(endedIncarnations.get(workerId), bornAtMs);
 
-    /** Begins to look at a worker that is listed, unless it is listed as an incarnation that is over. */
-    const meet = (entry: WorkerEntry): void => {
-        if (!isOver(entry)) {
+    /** Opens a link to a listed worker, unless the entry is that of an ended incarnation. */
+    const linkListedWorker = (entry: WorkerEntry): void => {
+        if (!hasEndedIncarnation(entry)) {
             links.set(entry.workerId, openLink(addWorker(entry, true)));
         }
     };
@@ -433,22 +448,24 @@
         unreadable: ReadonlySet<string> = new Set(),
         formerAgeMs = 0,
     ): void => {
-        // After an outage the former list may be old, and a worker that lapsed meanwhile may have shrunk before it did.
-        const missingSinceMs = clock.monotonicMs() - Math.max(0, formerAgeMs - trustedListMs);
+        // After an outage the former list may be old, and a worker whose entry has expired since may have been listed with less
+        // capacity before it did.
+        const missingSinceMs = clock.monotonicMs() - Math.max(0, formerAgeMs - maxListingAgeMs);
         listing = new Map(entries.map(entry => [entry.workerId, entry]));
-        // The entry of an incarnation that is over may outlast the one of the incarnation after it, which has not ended for that.
+        // The entry of an ended incarnation may stay listed longer than that of its successor at the address, which is not over
+        // for that.
         const byAddress = new Map(
-            entries.filter(entry => !isOver(entry)).map(entry => [entry.address, entry.workerId]),
+            entries.filter(entry => !hasEndedIncarnation(entry)).map(entry => [entry.address, entry.workerId]),
         );
         for (const entry of entries) {
             const known = workers.get(entry.workerId);
             if (known === undefined) {
                 watch.countCrashes(entry.workerId, lostRuns.replaced(entry.address, entry.workerId));
-                meet(entry);
+                linkListedWorker(entry);
                 continue;
             }
             if (isOtherIncarnation(known.bornAtMs, entry.bornAtMs)) {
-                // Either may be the newer one, which the worker's next answer settles; until then it is not used.
+                // Either incarnation may be the newer one, which the worker's next answer settles; until then it gets no work.
                 known.unlistedAtMs = -Infinity;
                 continue;
             }
@@ -460,14 +477,14 @@
             }
             if (drainsNow) {
                 log.write("info", "workerDrains", { workerId: entry.workerId, remainingMs: entry.drainRemainingMs });
-                leaveDraining(known);
+                evacuateDraining(known);
             }
         }
         for (const worker of [...workers.values()]) {
             if (listing.has(worker.workerId)) {
                 continue;
             }
-            // An entry that lapsed may be back soon; one that cannot be read names a worker that must not be used.
+            // An expired entry may be back soon; a worker whose entry cannot be read must not be used.
             worker.unlistedAtMs = unreadable.has(worker.workerId)
                 ? -Infinity
                 : worker.unlistedAtMs ?? missingSinceMs;
@@ -476,53 +493,54 @@
                 loseWorker(worker, "addressTaken");
             }
         }
-        void commitTouched();
+        void commitChangedJobs();
         wake();
     };
 
     /**
-     * Whether an incarnation that nobody can look at may carry a run's order out, and hold it for a whole lease where the platform hears
-     * of that worker.
+     * Whether an incarnation that this owner cannot reach may hold the run. It may carry the order out until
+     * `mayArriveUntilMs` and, where the worker is listed, hold the run for one more lease.
      */
-    const mayBeUnseen = ({ workerId, bornAtMs }: ShardWorker, run: ShardRun, nowMs: number): boolean => {
+    const mayRunUnseen = ({ workerId, bornAtMs }: ShardWorker, run: ShardRun, nowMs: number): boolean => {
         const leaseMs = listing.has(workerId) ? settings.leaseLimitMs / slowestClockRate : 0;
         return bornAtMs !== undefined && mayArrive(run, nowMs - leaseMs);
     };
 
-    /** Leases that are surely over, and workers of which nothing is left. */
-    const checkHorizons = (nowMs: number): void => {
-        // The last one may have turned out to be silent.
-        noteKnown();
+    /** Drops runs whose leases are surely over, and unlisted workers without runs. */
+    const expireLeases = (nowMs: number): void => {
+        // The last worker that had not answered may count as silent by now.
+        reportAllKnown();
         for (const worker of [...workers.values()]) {
             const silent = worker.silentLooks > 0 || !worker.certain;
             if (!silent || nowMs <= worker.horizonMs) {
                 continue;
             }
-            const over = [...worker.runs.values()].filter(run => !mayBeUnseen(worker, run, nowMs));
+            const over = [...worker.runs.values()].filter(run => !mayRunUnseen(worker, run, nowMs));
             if (over.length > 0) {
-                loseSilent(worker, "leaseOver", over);
+                expireRuns(worker, "leaseOver", over);
             }
             if (worker.unlistedAtMs !== undefined && worker.runs.size === 0) {
-                // It may only have been cut off from the store and from here; once listed again, it begins anew.
+                // It may only have been cut off from the store and from this daemon; once listed again, it is added anew.
                 dropWorker(worker, "notListed");
                 const entry = listing.get(worker.workerId);
                 if (entry !== undefined) {
-                    // Its next incarnation has been listed meanwhile.
-                    meet(entry);
+                    // Its next incarnation has been listed in the meantime.
+                    linkListedWorker(entry);
                 }
             }
         }
-        void commitTouched();
+        void commitChangedJobs();
     };
 
     const expect = (runs: readonly StoredRun[]): void => {
         for (const stored of runs) {
-            const known = unseenRuns.get(stored.workerId) ?? [];
+            const known = storedRunsByWorker.get(stored.workerId) ?? [];
             known.push(stored);
-            unseenRuns.set(stored.workerId, known);
+            storedRunsByWorker.set(stored.workerId, known);
         }
-        for (const [workerId, [stored]] of [...unseenRuns]) {
-            // Until the platform lists it, it may be anywhere; its lease, or another incarnation at its address, settles it.
+        for (const [workerId, [stored]] of [...storedRunsByWorker]) {
+            // The worker is not listed yet. Until it is, its runs are settled by the end of their leases or by another
+            // incarnation at its address.
             addWorker({ ...unlistedEntry, workerId, address: stored?.address ?? "" }, false);
         }
     };
@@ -544,7 +562,7 @@
                 loseWorker(worker, reason);
             }
         },
-        checkLeases: checkHorizons,
+        checkLeases: expireLeases,
         close: () => {
             for (const link of links.values()) {
                 link.close();
--- a/packages/puffinarch/src/core/shard/workerTable.ts
+++ b/packages/puffinarch/src/core/shard/workerTable.ts
@@ -1,4 +1,4 @@
-/** The workers of a shard: room, leases, and what is known of each. */
+/** The state that a shard's owner keeps of each worker: capacity, leases, runs and recent failures. */
 
 import { add, fits, largest, noResources, type Resources, subtract } from "../../types/resources.js";
 import type { WorkerEntry } from "../../types/work.js";
@@ -8,77 +8,92 @@
 import { jobOf, runPhases, type ShardJob, type ShardRun } from "./jobBook.js";
 import { allowsStart } from "./startBreaker.js";
 
-/** How much slower than ours a worker's clock may run. */
+/** Lowest rate, relative to this daemon's clock, at which a worker's clock may run. */
 export const slowestClockRate = 0.98;
 
-/** One incarnation of a worker as its shard's owner knows it. */
+/** One incarnation of a worker, as the shard's owner knows it. */
 export interface ShardWorker {
     readonly workerId: string;
-    /** When this incarnation began, as its own answers say; undefined before the first one, and where they do not say. */
+    /**
+     * When this incarnation began, as its own answers report it; undefined before the first answer, and where answers do not
+     * report it.
+     */
     bornAtMs: number | undefined;
     entry: WorkerEntry;
-    /** The most that it was listed with, which it may have again once it has shrunk. */
+    /** Largest capacity it was ever listed with; a worker that has shrunk may grow back to it. */
     mostCapacity: Resources;
-    /** Local time since which the platform's list lacks it; undefined while it has it. */
+    /** Local time since which the platform's list lacks it; undefined while it is listed. */
     unlistedAtMs: number | undefined;
-    /** True once it has answered a look under this owner's token, so that all it runs is known. */
+    /** True once it has answered a look sent under this owner's token, so that all its runs are known. */
     certain: boolean;
-    /** Local time and its own clock at its newest answer. */
+    /** Local time of its newest answer and its own clock at that moment; converts local times to lease deadlines. */
     clock: { readonly localMs: number; readonly clockMs: number; } | undefined;
-    /** Local time by which every lease that it may have been given is over. */
+    /** Local time by which every lease that it may have been granted has surely ended. */
     horizonMs: number;
     /** Local time of the newest answer to a look. */
     answeredAtMs: number;
-    /** Looks in a row without an answer. */
+    /** Consecutive looks without an answer. */
     silentLooks: number;
-    /** Local time of the first of these; undefined while it answers. */
+    /** Local time at which the first of the unanswered looks was given up; undefined while it answers. */
     silentSinceMs: number | undefined;
-    /** The first of these lost its connection. Of a worker that went silent otherwise nobody knows when it crashed, if it did. */
+    /**
+     * Whether the first unanswered look lost its connection. A worker that went silent in another way may have crashed at any
+     * time since its last answer, or not at all.
+     */
     connectionLost: boolean;
-    /** Highest number of an end that is durable, and so may be forgotten there. */
+    /** Highest number of an end that is durable here, so that the worker may discard the ends up to it. */
     acknowledgedEnd: number;
-    /** Highest number of an end that was taken into the book. */
-    takenEnd: number;
-    /** Resolves once all ends taken so far are durable. */
+    /** Highest number of an end that was applied to its job. */
+    appliedEnd: number;
+    /** Resolves once all ends applied so far are durable. */
     endsWritten: Promise<unknown>;
-    /** Runs of the incarnation before that this one may have carried out, and which may have crashed that one; by name and number. */
+    /**
+     * Suspected crashes of the former incarnation whose runs this incarnation may have, by run key. They are counted once it
+     * is known that it does not have them.
+     */
     readonly undecided: Map<string, CrashedRun>;
-    /** Runs that hold room, by name and number. */
+    /** Runs that hold capacity here, by run key. */
     readonly runs: Map<string, ShardRun>;
-    /** Room that is held, by known runs and by runs that nobody knows until they are stopped. */
+    /** Capacity held by all runs here, except absent ones. */
     held: Resources;
-    /** Runs that this incarnation refuses; their orders may reach the next one, of which alone they hold room. */
+    /**
+     * Number of runs that this incarnation rejects. The next incarnation may still carry out their orders, so only its
+     * capacity is held for them.
+     */
     absentRuns: number;
-    /** Failures in a row, and the jobs that they belonged to. */
+    /** Jobs that the consecutive failures belonged to. */
     readonly failedJobs: Set<string>;
     failuresInARow: number;
-    /** Local time at which the newest of the orders was sent whose run has ended well. */
+    /** Latest local time at which the start of a run that completed was sent. */
     soundSinceMs: number;
-    /** Local time of the first of these; it means nothing while there are none. */
+    /** Local time of the first of the consecutive failures; meaningless while there are none. */
     streakBeganAtMs: number;
-    /** Local time at which the newest rest after failures began, and until which it gets no work but what passes rests. */
+    /**
+     * Local times at which the newest rest (a cooldown after failures) began and ends. During it only steps that may pass
+     * rests get work here.
+     */
     restBeganAtMs: number;
     restsUntilMs: number;
-    /** Gets no work before this local time. */
+    /** It gets no work before this local time. */
     avoidUntilMs: number;
-    /** Starts in a row without an answer, and the local time of the newest that was counted. */
+    /** Consecutive starts without an answer, and the local time of the newest that was counted. */
     unansweredStarts: number;
     startUnansweredAtMs: number;
-    /** A start that it did not answer; until it answers an order about it, it gets no other. */
+    /** A start that it did not answer; it gets no other start until it has answered an order about this one. */
     unansweredOrder: DelayedStart | undefined;
-    /** Gets no work at all, since its VM is about to go down. */
+    /** It gets no work at all, since its VM is about to be shut down. */
     cordoned: boolean;
-    /** Newest run of a task that is to show whether it crashes its worker; nothing else is started beside it. */
+    /** Newest run here of a task on trial, which workers crashed under; other jobs start nothing beside it until it is at work. */
     trial: ShardRun | undefined;
-    /** A job for whose trial it is to become empty; only its tasks are started there until then. */
+    /** A job that waits for this worker to become empty for a trial; only its tasks are started here until then. */
     trialHold: { readonly job: ShardJob; readonly untilMs: number; } | undefined;
 }
 
-/** Key of a run among those of a worker. */
+/** Key of a run in the maps of a worker. */
 export const runKey = (taskName: string, run: number): string => `${taskName}#${run}`;
 
 /**
- * Makes the entry of a worker of which nothing is known but its listing.
+ * Creates the state of a worker of which only its list entry is known.
  *
  * @example
  * const worker = newWorker(entry, clock.monotonicMs() + 7_000);
@@ -97,7 +112,7 @@
     silentSinceMs: undefined,
     connectionLost: false,
     acknowledgedEnd: 0,
-    takenEnd: 0,
+    appliedEnd: 0,
     endsWritten: Promise.resolve(),
     undecided: new Map(),
     runs: new Map(),
@@ -119,7 +134,8 @@
 });
 
 /**
- * Gives the time on a worker's own clock that lies this far ahead, and notes how long the lease may last.
+ * Returns the deadline, on the worker's own clock, of a lease that lasts `leaseMs` from now, and extends `horizonMs` to cover
+ * it. Undefined while the worker's clock is not known.
  *
  * @example
  * const deadlineMs = extendLease(worker, clock.monotonicMs(), 5_000);
@@ -135,24 +151,25 @@
     return deadlineMs;
 };
 
-/** What ends with this incarnation holds nothing of the next one; whatever has no answer yet may be carried out there. */
+/** Whether the next incarnation may carry out the run's order: it has had no final answer yet. */
 const mayReachNext = ({ mayArriveUntilMs, phase }: ShardRun): boolean =>
     mayArriveUntilMs !== undefined || phase === runPhases.planned || phase === runPhases.starting;
 
-const heldOfNext = ({ runs }: ShardWorker): Resources =>
+const heldByNext = ({ runs }: ShardWorker): Resources =>
     [...runs.values()].filter(mayReachNext).reduce((sum, run) => add(sum, run.held), noResources);
 
 /**
- * Gives the room that is left on a worker, and would be on its next incarnation if that were to carry out what has no answer.
+ * Returns the free capacity of a worker. Where runs are absent, it also leaves enough for the next incarnation to carry out
+ * every order that has no answer yet.
  *
  * @example
  * roomOf(worker).cpuMillis;
  */
 export const roomOf = (worker: ShardWorker): Resources =>
-    subtract(worker.entry.capacity, worker.absentRuns === 0 ? worker.held : largest(worker.held, heldOfNext(worker)));
+    subtract(worker.entry.capacity, worker.absentRuns === 0 ? worker.held : largest(worker.held, heldByNext(worker)));
 
 /**
- * Takes a worker's newest listing.
+ * Updates a worker from its newest list entry.
  *
  * @example
  * takeEntry(worker, { ...worker.entry, draining: true });
@@ -162,14 +179,14 @@
     worker.mostCapacity = largest(worker.mostCapacity, entry.capacity);
 };
 
-/** A run fits where no amount that it takes of the worker is more than there is. */
+/** A resource of which the run takes nothing may be overcommitted. */
 const fitsWith = (held: Resources, left: Resources): boolean =>
     (held.cpuMillis === 0 || left.cpuMillis >= 0) && (held.memoryMib === 0 || left.memoryMib >= 0)
     && (held.accelerators === 0 || left.accelerators >= 0);
 
 /**
- * Tells whether the room that a run holds is still there: a worker may have shrunk since the run was planned, and one that
- * does not guard its capacity would start it all the same. The cap of its organisation may have been lowered as well.
+ * Tells whether a run that already holds capacity still fits. The worker may have shrunk since the run was planned, and one
+ * that does not check its capacity would start it all the same; the cap of the organisation may have been lowered too.
  *
  * @example
  * if (!stillFits(worker, run)) { dropRun(worker, run); }
@@ -185,7 +202,7 @@
     worker.held = add(worker.held, held);
 };
 
-const giveRoomBack = (worker: ShardWorker, { absent, held }: ShardRun): void => {
+const returnRoom = (worker: ShardWorker, { absent, held }: ShardRun): void => {
     if (absent) {
         worker.absentRuns -= 1;
         return;
@@ -194,7 +211,7 @@
 };
 
 /**
- * Notes whether the worker's present incarnation refuses a run that it holds; other tasks may then have the room.
+ * Sets whether the worker's present incarnation rejects a run. Other tasks may use the capacity of an absent run.
  *
  * @example
  * setAbsent(worker, run, true);
@@ -203,12 +220,12 @@
     if (run.absent === absent) {
         return;
     }
-    giveRoomBack(worker, run);
+    returnRoom(worker, run);
     run.absent = absent;
     takeRoom(worker, run);
 };
 
-/** Room on a worker and use of an organisation's cap are taken and given back together, and only here and in `releaseRun`. */
+/** Takes capacity on a worker and charges the organisation's cap. Both change together, only here and in `releaseRun`. */
 const takeRun = (worker: ShardWorker, run: ShardRun): void => {
     takeRoom(worker, run);
     worker.runs.set(runKey(run.task.name, run.run), run);
@@ -216,7 +233,7 @@
 };
 
 /**
- * Reserves room for a run; false where it does not fit.
+ * Reserves capacity for a run; returns false where it does not fit.
  *
  * @example
  * if (!holdRoom(worker, run)) { return; }
@@ -230,7 +247,7 @@
 };
 
 /**
- * Takes over a run that a worker was found to have, whether it fits or not.
+ * Adds a run that the worker was found to have, whether it fits or not.
  *
  * @example
  * adoptRun(worker, run);
@@ -238,20 +255,20 @@
 export const adoptRun = takeRun;
 
 /**
- * Gives back the room of a run that its task keeps, as it may go on elsewhere.
+ * Returns the capacity of a run that its task keeps, since the run may move to the worker's next incarnation.
  *
  * @example
  * releaseRun(worker, run);
  */
 export const releaseRun = (worker: ShardWorker, run: ShardRun): void => {
     if (worker.runs.delete(runKey(run.task.name, run.run))) {
-        giveRoomBack(worker, run);
+        returnRoom(worker, run);
         release(jobOf(run).account, run.held);
     }
 };
 
 /**
- * Gives back the room of a run that is gone, and takes the run from its task.
+ * Returns the capacity of a run that is gone, and removes the run from its task.
  *
  * @example
  * dropRun(worker, run);
@@ -265,20 +282,20 @@
 };
 
 /**
- * Tells whether an incarnation that drained or went down for upkeep has left, whatever ran there.
+ * Tells whether a worker is about to go down as planned, by draining or for upkeep; no run is blamed for that.
  *
  * @example
  * hasLeft(worker); // false for one that serves
  */
-export const hasLeft = ({ entry, cordoned }: ShardWorker): boolean => entry.draining || cordoned;
+export const isLeaving = ({ entry, cordoned }: ShardWorker): boolean => entry.draining || cordoned;
 
-/** Entries may lapse while the store is away; those of workers that live are back within two seconds of its return. */
+/** Entries may expire while the store is unavailable; live workers are listed again within 2 s of its return. */
 const unlistedGraceMs = 2_500;
-/** Looks without an answer after which a worker gets no new work. */
+/** Consecutive unanswered looks from which on a worker gets no new work. */
 const silentLooksToAvoid = 1;
 
 /**
- * Tells whether what the list last said of a worker may be used: it is listed, or was until just now.
+ * Tells whether a worker is listed, or was until just now, so that its last entry may still be used.
  *
  * @example
  * isListed(worker, clock.monotonicMs());
@@ -287,7 +304,7 @@
     unlistedAtMs === undefined || nowMs - unlistedAtMs < unlistedGraceMs;
 
 /**
- * Tells whether a worker may get new work now, or does so within a given time if it only rests.
+ * Tells whether a worker may get new work now. A worker whose rest ends within `restLeadMs` counts as open.
  *
  * @example
  * isOpen(worker, clock.monotonicMs());
--- a/packages/puffinarch/src/core/shard/workerWatch.ts
+++ b/packages/puffinarch/src/core/shard/workerWatch.ts
@@ -1,4 +1,4 @@
-/** What a look at a worker brings: ends, runs that nobody knew, runs that are gone, and tasks to pace. */
+/** Applies the answers to looks: ended runs, runs that this owner did not know, missing runs, and runs without progress. */
 
 import { type EndedRun, type LookResult, type RunningRun } from "../../types/cellPorts.js";
 import type { Clock, Log, Meter } from "../../types/ports.js";
@@ -18,47 +18,50 @@
 } from "./jobBook.js";
 import { createMissingRuns, type MissingRunsOptions } from "./missingRuns.js";
 import { noteStartAnswered } from "./startBreaker.js";
-import { adoptRun, dropRun, hasLeft, runKey, setAbsent, type ShardWorker } from "./workerTable.js";
+import { adoptRun, dropRun, isLeaving, runKey, setAbsent, type ShardWorker } from "./workerTable.js";
 
-/** What the watch needs. */
+/** What `createWorkerWatch` needs. */
 export interface WorkerWatchOptions extends Pick<MissingRunsOptions, "onFormerGone" | "onStartLost" | "onAbsent"> {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
     readonly jobOf: (jobId: string) => ShardJob | undefined;
-    /** The job changed and has to be made durable. */
+    /** Called when a job has changed and has to be made durable. */
     readonly onChange: (job: ShardJob) => void;
-    /** Workers that fell at a moment without a task of the job. */
+    /** Counts the workers that fell silent at a moment without having just started a task of the job. */
     readonly othersAt: CorrelatedCrashes["othersAt"];
     readonly stop: (worker: ShardWorker, run: ShardRun) => void;
-    /** The run makes no progress; it is to run elsewhere. */
+    /** Called for a run that makes no progress and has to run elsewhere. */
     readonly onStuck: (worker: ShardWorker, run: ShardRun) => void;
     readonly stopUnknown: (worker: ShardWorker, taskName: string, run: number) => void;
 }
 
-/** Takes looks into the book. */
+/** Applies looks to the jobs in memory. */
 export interface WorkerWatch {
-    /** Gives the highest end that was taken in. */
+    /** Applies one look; returns the highest end number applied so far. */
     take(worker: ShardWorker, look: LookResult & { readonly outcome: "done"; }, sentAtMs: number): number;
-    /** The worker's incarnation is over, or the leases of these runs are: they run there no more. Gives what may have crashed it. */
+    /**
+     * Drops runs whose worker's incarnation, or whose leases, are over: all runs of the worker, or those given. Returns those
+     * that may have crashed the worker.
+     */
     loseRuns(worker: ShardWorker, reason: string, runs?: readonly ShardRun[]): readonly CrashedRun[];
-    /** The worker, or the incarnation before it at its address, has surely crashed with these runs. */
+    /** Counts a crash for each of the runs; the worker, or the former incarnation at its address, has surely crashed. */
     countCrashes(workerId: string, runs: readonly CrashedRun[]): void;
 }
 
-/** Failures in a row, from at least this many jobs, after which a worker rests. */
-const failuresToRest = 3;
-const jobsToRest = 2;
-/** A run that uses no processor for this long is stuck; a resumed one takes up to 0.6 s to be restored. */
+/** A worker rests after this many consecutive failures from at least this many jobs. */
+const minFailuresToRest = 3;
+const minFailedJobsToRest = 2;
+/** A run that uses no processor for this long is stuck; restoring a resumed run takes up to 0.6 s. */
 const stuckMs = 1_500;
 /**
- * How long it rests; disruptions of workers last some 4 to 7 s. A task may stand for less than that, and the failures may be the
- * tasks' own fault, so that a step which has waited for workers at rest passes it.
+ * How long a worker rests; disruptions of workers last some 4 to 7 s. Tasks may have to start sooner, and the failures may be
+ * their own fault, so that a step that has waited long for resting workers may use them.
  */
 const restMs = 4_000;
 
 /**
- * Makes the watch.
+ * Creates the watch of one shard owner.
  *
  * @example
  * const watch = createWorkerWatch({ clock, log, meter, jobOf, onChange, stop, stopUnknown });
@@ -68,7 +71,7 @@
 
     const notePossibleCrash = (worker: ShardWorker, run: ShardRun): void => {
         const { task } = run;
-        if (hasLeft(worker) || !countPossibleCrash(run, clock.monotonicMs())) {
+        if (isLeaving(worker) || !countPossibleCrash(run, clock.monotonicMs())) {
             return;
         }
         meter.count("crashesPossible");
@@ -85,14 +88,14 @@
     };
     const missingRuns = createMissingRuns({ ...options, onPossibleCrash: notePossibleCrash });
 
-    const judgeWorker = (
+    const updateFailureStreak = (
         worker: ShardWorker,
         { jobId, how, sentAtMs }: { readonly jobId: string; readonly how: EndedRun["how"]; readonly sentAtMs: number; },
     ): void => {
         if (how === "done") {
             worker.soundSinceMs = Math.max(worker.soundSinceMs, sentAtMs);
         }
-        // What ends well but began before the failures did tells nothing of the worker as it is now.
+        // A run that was sent before the failures began does not show that the worker has recovered.
         if (how === "done" && (worker.failuresInARow === 0 || sentAtMs >= worker.streakBeganAtMs)) {
             worker.failuresInARow = 0;
             worker.failedJobs.clear();
@@ -105,9 +108,9 @@
         }
         worker.failuresInARow += 1;
         worker.failedJobs.add(jobId);
-        // Runs from before a rest do not renew it, since it would have no bound.
+        // Runs sent before a rest do not renew it, since it could go on without limit.
         if (
-            worker.failuresInARow >= failuresToRest && worker.failedJobs.size >= jobsToRest
+            worker.failuresInARow >= minFailuresToRest && worker.failedJobs.size >= minFailedJobsToRest
             && sentAtMs >= worker.restBeganAtMs
         ) {
             worker.restBeganAtMs = clock.monotonicMs();
@@ -131,7 +134,7 @@
     };
     const workersById = new Map<string, ShardWorker>();
 
-    const takeEnd = (worker: ShardWorker, end: EndedRun): void => {
+    const applyEndedRun = (worker: ShardWorker, end: EndedRun): void => {
         const run = worker.runs.get(runKey(end.taskName, end.run));
         const task = run?.task ?? findTask(jobOf, end.taskName);
         log.write("info", "runEnded", {
@@ -149,18 +152,19 @@
             return;
         }
         const { job } = task.step.occurrence;
-        judgeWorker(worker, {
+        updateFailureStreak(worker, {
             jobId: job.submission.jobId,
             how: end.how,
             sentAtMs: run?.sentAtMs ?? -Infinity,
         });
         if (end.how === "failed") {
-            // Any member that fails ends its whole gang.
+            // One failed member ends its whole gang.
             for (const each of task.step.spec.gang ? task.step.tasks : [task]) {
                 each.failedOn.set(worker.workerId, clock.monotonicMs());
             }
         }
-        // An end that was counted before, by a former owner or before the lease ran out, counts only as done.
+        // The end of an unknown run may have been counted already, by a former owner or as its lease ran out; it counts only if
+        // it completed the task.
         if (run !== undefined || end.how === "done") {
             meter.count(`ends.${end.how}`);
             applyEnd(task, end.run, end.how, end.checkpoint, clock.monotonicMs());
@@ -199,8 +203,8 @@
         }
     };
 
-    /** Gangs wait for their members, and tasks that fill or serve may rightly be idle. */
-    const judgeProgress = (worker: ShardWorker, run: ShardRun, figure: number): void => {
+    /** Reports a run that uses no processor for too long. Gangs wait for their members, and tasks that fill or serve may be idle. */
+    const detectStuckRun = (worker: ShardWorker, run: ShardRun, figure: number): void => {
         const { spec } = run.task.step;
         if (figure > 0 || spec.gang || spec.fills || spec.longRunning || run.phase !== runPhases.running) {
             run.idleSinceMs = undefined;
@@ -214,7 +218,7 @@
         }
     };
 
-    const takeRunning = (worker: ShardWorker, row: RunningRun): void => {
+    const applyRunningRun = (worker: ShardWorker, row: RunningRun): void => {
         const run = worker.runs.get(runKey(row.taskName, row.run));
         if (run === undefined) {
             const task = findTask(jobOf, row.taskName);
@@ -232,12 +236,12 @@
         worker.undecided.delete(runKey(row.taskName, row.run));
         run.percent = row.percent;
         run.figure = row.figure;
-        judgeProgress(worker, run, row.figure);
+        detectStuckRun(worker, run, row.figure);
         run.startedAtMs ??= clock.monotonicMs();
         if (run.phase === runPhases.starting || run.phase === runPhases.planned) {
             run.phase = runPhases.running;
             run.settledAtMs = clock.monotonicMs();
-            // Only the answer was late or lost, as from a worker that is slow.
+            // The start was carried out and only its answer was late or lost, as from a slow worker.
             noteStartAnswered(worker);
         }
         if (row.checkpoint !== "") {
@@ -245,7 +249,7 @@
         }
         const { job } = run.task.step.occurrence;
         if (!job.started) {
-            // A former owner started it, whose rows need not say so.
+            // A former owner started the job, and its rows may not say so.
             job.started = true;
             onChange(job);
         }
@@ -284,9 +288,12 @@
         }
     };
 
-    /** Runs of former owners that were for an incarnation before this one may have crashed that one, unless this one has them. */
-    const suspectFormer = (worker: ShardWorker): void => {
-        if (hasLeft(worker)) {
+    /**
+     * Records runs that former owners planned for an earlier incarnation: each may have crashed that incarnation, unless this
+     * one has it.
+     */
+    const recordFormerSuspects = (worker: ShardWorker): void => {
+        if (isLeaving(worker)) {
             return;
         }
         for (const run of worker.runs.values()) {
@@ -305,16 +312,16 @@
         take: (worker, look, sentAtMs) => {
             workersById.set(worker.workerId, worker);
             if (!worker.certain) {
-                suspectFormer(worker);
+                recordFormerSuspects(worker);
             }
             let newest = worker.acknowledgedEnd;
             const listed = new Set<string>();
             for (const end of look.ended) {
                 listed.add(runKey(end.taskName, end.run));
                 newest = Math.max(newest, end.endNumber);
-                if (end.endNumber > worker.takenEnd) {
-                    worker.takenEnd = end.endNumber;
-                    takeEnd(worker, end);
+                if (end.endNumber > worker.appliedEnd) {
+                    worker.appliedEnd = end.endNumber;
+                    applyEndedRun(worker, end);
                 }
                 else {
                     meter.count("endsListedAgain");
@@ -322,7 +329,7 @@
             }
             for (const row of look.running) {
                 listed.add(runKey(row.taskName, row.run));
-                takeRunning(worker, row);
+                applyRunningRun(worker, row);
             }
             countCrashes(worker.workerId, missingRuns.review(worker, listed, sentAtMs));
             worker.certain = true;
