--- a/packages/puffinarch/src/core/shard/runOrders.ts
+++ b/packages/puffinarch/src/core/shard/runOrders.ts
@@ -1,4 +1,7 @@
-/** Orders about the runs of one worker: starts, each sent once, and stops, which are repeated until they are settled. */
+/**
+ * Orders about the runs of one worker: starts, never repeated once they may have been carried out, and stops, repeated until
+ * answered.
+ */
 
 import { type OrderOutcome, orderOutcomes, type WorkerTarget } from "../../types/cellPorts.js";
 import { sleep } from "../../utils/time.js";
@@ -10,12 +13,12 @@
 import type { WorkerLinkOptions } from "./workerLink.js";
 import { extendLease, runKey, type ShardWorker, stillFits } from "./workerTable.js";
 
-/** A start takes a round trip of some milliseconds; a look settles sooner than a longer wait what became of it. */
+/** Timeout of a start, whose round trip takes some milliseconds; beyond it, a look shows sooner whether the start was carried out. */
 const startTimeoutMs = 150;
-const shortestStopTimeoutMs = 150;
-const longestStopTimeoutMs = 600;
+const minStopTimeoutMs = 150;
+const maxStopTimeoutMs = 600;
 
-/** What the orders share with the looks of their worker's link. */
+/** What `createRunOrders` needs; orders share most of it with the looks of the worker's link. */
 export interface RunOrdersOptions extends
     Pick<
         WorkerLinkOptions,
@@ -33,36 +36,36 @@
     readonly worker: ShardWorker;
     readonly target: () => WorkerTarget;
     readonly isClosed: () => boolean;
-    /** The fencing token of what is sent now. */
+    /** Fencing token of the orders that are sent next. */
     readonly token: () => number;
-    /** Makes the newest token of this owner the one of what is sent next. */
+    /** Sets the token of the next orders to this owner's newest. */
     readonly renewToken: () => void;
-    /** Nothing was done, as an order or a look of this owner with a higher token came first. */
+    /** Whether an order had no effect because an order or look of this owner with a higher token reached the worker first. */
     readonly isOvertaken: (outcome: OrderOutcome, sentToken: number) => boolean;
-    /** Whether nothing more may be said to the worker. */
+    /** Reports an outcome by which this owner or the worker's incarnation is over; returns true where no more orders may be sent. */
     readonly endsLink: (outcome: OrderOutcome, sentToken: number) => boolean;
-    /** Looks at the worker without waiting for an end. */
+    /** Sends a look soon that does not wait for a run to end. */
     readonly lookSoon: () => void;
     readonly onStarted: (run: ShardRun) => void;
-    /** The run surely does not and will not run there. */
+    /** Called when a run was surely not started and will not be. */
     readonly onNotStarted: (run: ShardRun, outcome: OrderOutcome) => void;
-    /** Resolves once a commit has brought this owner a newer token. */
+    /** Called when a start got no answer; resolves once a commit has brought this owner a newer token. */
     readonly onUnanswered: (run: ShardRun) => Promise<unknown>;
 }
 
-/** Sends orders. */
+/** Sends orders to one worker. */
 export interface RunOrders {
     start(run: ShardRun, checkpoint: string, ticket: string): Promise<void>;
-    /** Stops without an answer may still be under way, so they are sent until the run is gone. */
+    /** Sends a stop until it is answered or the run is gone; a stop without an answer may never have arrived. */
     stop(run: ShardRun): Promise<void>;
-    /** Lets the worker refuse an order that may be under way to it. */
+    /** Makes the worker reject a start that may be in flight to it; repeated until it is answered. */
     refuse(order: DelayedStart): Promise<void>;
-    /** Sends an order that changes nothing until the worker answers it, which closes its breaker. */
+    /** Sends an order without effect until the worker answers it, which closes the worker's circuit breaker. */
     probe(order: DelayedStart): Promise<void>;
 }
 
 /**
- * Makes the orders of one worker's link.
+ * Creates the sender of one worker's orders.
  *
  * @example
  * const orders = createRunOrders(options);
@@ -75,24 +78,25 @@
     const isWanted = (run: ShardRun): boolean =>
         !isClosed() && run.phase === runPhases.starting && worker.runs.has(runKey(run.task.name, run.run));
 
-    /** The run was answered to be there, or to have ended there already, which the next look brings. */
-    const settle = (run: ShardRun): void => {
+    /** Marks a run as running: its worker answered that it is there, or that it has ended there already, which the next look lists. */
+    const markRunning = (run: ShardRun): void => {
         run.phase = runPhases.running;
         run.settledAtMs = clock.monotonicMs();
     };
 
     /**
-     * A worker that has answered a look under a higher token refuses the order when it comes, so that a look which does not list the
-     * run proves it gone. Sending the order again would leave two of them to be carried out by whoever has the worker's ID then.
+     * Handles a start without an answer. Once the worker has answered a look with a higher token, it rejects the order, and a
+     * look that does not list the run proves that it is gone. A second start could be carried out besides the first, by
+     * whichever incarnation has the id then.
      */
-    const giveUpStart = async (run: ShardRun, sentToken: number): Promise<void> => {
+    const handleUnansweredStart = async (run: ShardRun, sentToken: number): Promise<void> => {
         log.write("warn", "startUnanswered", { task: run.task.name, run: run.run, ...incarnationOf(worker) });
         const nowMs = clock.monotonicMs();
         noteStartUnanswered(worker, run.sentAtMs ?? nowMs, nowMs);
-        // Without a newer token the order is refused only once its lease would be over.
+        // Without a newer token, the worker rejects the order only once its lease deadline has passed.
         run.settledAtMs = worker.horizonMs;
         options.renewToken();
-        // Its row tells a successor that the order may still come.
+        // The job's row records that the order may still arrive, for a successor.
         const committed = options.onUnanswered(run);
         if (options.token() <= sentToken) {
             await committed;
@@ -104,25 +108,25 @@
         }
     };
 
-    const takeOutcome = async (run: ShardRun, outcome: OrderOutcome, sentToken: number): Promise<void> => {
+    const applyOutcome = async (run: ShardRun, outcome: OrderOutcome, sentToken: number): Promise<void> => {
         if (outcome === orderOutcomes.done) {
-            settle(run);
+            markRunning(run);
             options.onStarted(run);
             return;
         }
         if (outcome === orderOutcomes.stale) {
-            settle(run);
+            markRunning(run);
             return;
         }
         if (outcome === orderOutcomes.unknown) {
-            await giveUpStart(run, sentToken);
+            await handleUnansweredStart(run, sentToken);
             return;
         }
         log.write("warn", "startRefused", { task: run.task.name, run: run.run, ...incarnationOf(worker), outcome });
         options.onNotStarted(run, outcome);
     };
 
-    /** Sends the start; undefined where the worker is silent, as a start to it would be lost. */
+    /** Sends the start; returns undefined where the worker is silent, since the order would most likely be lost. */
     const send = async (run: ShardRun, checkpoint: string, ticket: string): Promise<OrderOutcome | undefined> => {
         const deadlineMs = worker.silentLooks > 0 ? undefined : extendLease(worker, clock.monotonicMs(), leaseMs);
         if (deadlineMs === undefined) {
@@ -170,18 +174,18 @@
                 return;
             }
             if (!options.isOvertaken(outcome, sentToken)) {
-                await takeOutcome(run, outcome, sentToken);
+                await applyOutcome(run, outcome, sentToken);
                 return;
             }
         }
     };
 
     const stop = async (run: ShardRun): Promise<void> => {
-        let timeoutMs = shortestStopTimeoutMs;
+        let timeoutMs = minStopTimeoutMs;
         while (!isClosed() && worker.runs.has(runKey(run.task.name, run.run))) {
             const order = { taskName: run.task.name, run: run.run, fencingToken: options.token() };
             const outcome = await workers.stop(target(), order, timeoutMs);
-            timeoutMs = Math.min(longestStopTimeoutMs, 2 * timeoutMs);
+            timeoutMs = Math.min(maxStopTimeoutMs, 2 * timeoutMs);
             meter.count(`stops.${outcome}`);
             if (outcome === orderOutcomes.done || outcome === orderOutcomes.stale) {
                 run.settledAtMs = clock.monotonicMs();
@@ -194,11 +198,11 @@
         }
     };
 
-    /** A stop of a run that is not there makes the worker refuse it when it comes. */
+    /** A worker that gets a stop for a run it does not have rejects that run's start when it arrives. */
     const refuse = async ({ taskName, run }: DelayedStart): Promise<void> => {
         while (!isClosed() && delayedStarts.has(worker.workerId, { taskName, run })) {
             const order = { taskName, run, fencingToken: options.token() };
-            const outcome = await workers.stop(target(), order, longestStopTimeoutMs);
+            const outcome = await workers.stop(target(), order, maxStopTimeoutMs);
             if (
                 outcome === orderOutcomes.done || outcome === orderOutcomes.stale
                 || endsLink(outcome, order.fencingToken)
@@ -209,11 +213,11 @@
         }
     };
 
-    /** A stop of a run that its worker refuses; no other start is risked to find out whether orders arrive again. */
+    /** Repeats the stop of a run that the worker rejects anyway, since another start might get lost too. */
     const probe = async ({ taskName, run }: DelayedStart): Promise<void> => {
         while (!isClosed() && worker.unansweredOrder !== undefined) {
             const order = { taskName, run, fencingToken: options.token() };
-            const outcome = await workers.stop(target(), order, shortestStopTimeoutMs);
+            const outcome = await workers.stop(target(), order, minStopTimeoutMs);
             if (endsLink(outcome, order.fencingToken)) {
                 return;
             }
--- a/packages/puffinarch/src/core/shard/startBreaker.ts
+++ b/packages/puffinarch/src/core/shard/startBreaker.ts
@@ -1,18 +1,21 @@
 /**
- * Circuit breaker for the starts of one worker. A worker that answers looks may still lose orders, or carry them out seconds
- * late: each one costs its task the wait for an answer, and may reach a worker that has restarted meanwhile.
+ * Circuit breaker for the starts of one worker. A worker that answers looks may still lose starts or carry them out seconds
+ * late. Each such start makes its task wait for the answer, and may reach a worker that has restarted in the meantime.
  */
 
 import { runPhases } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** A connection that was lost costs no more than this, and the next start takes another one. */
-const shortestOpenMs = 100;
-/** With a call to the advisor it stays below the 3 s for which an accepted task may stand beside room. */
-const longestOpenMs = 1_500;
+/** Shortest time for which the breaker opens; it is enough for a lost connection, since the next start opens another one. */
+const minOpenMs = 100;
+/**
+ * Longest time for which the breaker opens. Together with a call to the advisor it stays below 3 s, for which an accepted
+ * task may wait though there is room.
+ */
+const maxOpenMs = 1_500;
 
 /**
- * Notes that the worker answered a start, which closes the breaker.
+ * Records that the worker answered a start, which closes the breaker.
  *
  * @example
  * noteStartAnswered(worker);
@@ -23,7 +26,8 @@
 };
 
 /**
- * Notes a start that got no answer. Starts that were under way together count as one failure.
+ * Records a start that got no answer, and opens the breaker for twice as long as after the previous failure, up to the
+ * maximum. Starts in flight at the same time count as one failure.
  *
  * @example
  * noteStartUnanswered(worker, run.sentAtMs, clock.monotonicMs());
@@ -34,13 +38,13 @@
     }
     worker.unansweredStarts += 1;
     worker.startUnansweredAtMs = nowMs;
-    const openMs = Math.min(longestOpenMs, shortestOpenMs * 2 ** (worker.unansweredStarts - 1));
+    const openMs = Math.min(maxOpenMs, minOpenMs * 2 ** (worker.unansweredStarts - 1));
     worker.avoidUntilMs = Math.max(worker.avoidUntilMs, nowMs + openMs);
 };
 
 /**
- * Tells whether the breaker lets a start through: always while it is closed; half open, only while no other is under way. Where a
- * start might be carried out by another incarnation, an order that is harmless to any of them is sent instead to try the worker out.
+ * Tells whether the breaker lets a start through: any while it is closed, and one at a time while it is half open. Where
+ * another incarnation might carry a start out, none is let through until the worker has answered a harmless order.
  *
  * @example
  * allowsStart(worker); // true for a worker that answered its newest start
--- a/packages/puffinarch/src/core/shard/workerLink.ts
+++ b/packages/puffinarch/src/core/shard/workerLink.ts
@@ -1,4 +1,7 @@
-/** One worker's side of a shard: looks that renew leases and bring ends, and orders about its runs. */
+/**
+ * The link of a shard's owner to one worker: looks, which are long polls that renew leases and return run ends, and orders
+ * about runs.
+ */
 
 import { type FencedWorkerPort, type LookResult, type OrderOutcome, orderOutcomes } from "../../types/cellPorts.js";
 import type { CancelTimer, Clock, Log, Meter } from "../../types/ports.js";
@@ -10,24 +13,24 @@
 import { createRunOrders } from "./runOrders.js";
 import { extendLease, type ShardWorker } from "./workerTable.js";
 
-/** Starts that are given up within this time share a look. */
-const gatherMs = 2;
-/** How long a stop of a run that nobody knows may take. */
+/** Starts that time out within this time share one look. */
+const lookBatchDelayMs = 2;
+/** Timeout for the stop of a run that belongs to no known job. */
 const stopUnknownTimeoutMs = 600;
 /**
- * A look answers after the time that it may wait, and this. A daemon that reads answers later than that waits longer next
- * time, up to the last: two such looks still fit into a lease of 5 s.
+ * How much longer than its waiting time a look may take before it counts as unanswered. The time is doubled, up to the
+ * maximum, while this daemon itself reads answers late; two looks at the maximum still fit into a lease of 5 s.
  */
-const shortestPatienceMs = 350;
-const longestPatienceMs = 1_400;
-/** A look that is given up this much after its limit shows that this daemon's own processor is late. */
-const ownLateMs = 50;
-/** Looks that this daemon may have read too late say nothing of the worker for this long after its last answer. */
-const forgivenMs = 5_000;
-/** Without a look there for longer than this, a worker may have been down and back. */
-const unseenMs = 50;
+const minPatienceMs = 350;
+const maxPatienceMs = 1_400;
+/** A look that times out later than this after its limit shows that this daemon's own processor is overloaded. */
+const ownDelayThresholdMs = 50;
+/** For this long after a worker's last answer, looks that time out by this daemon's own delay do not count against the worker. */
+const ownDelayGraceMs = 5_000;
+/** A worker whose last answer is older than this may have restarted since. */
+const maxLookGapMs = 50;
 
-/** What the links of a shard share. */
+/** What `openWorkerLink` needs; the links of a shard share it. */
 export interface WorkerLinkOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -35,63 +38,63 @@
     readonly workers: FencedWorkerPort;
     readonly fencingToken: number;
     /**
-     * The highest token that is surely this owner's now, above which every successor's is; `fencingToken` where it is left out.
-     * Each link begins with it.
+     * Highest token that surely belongs to this owner now; the tokens of all successors are higher. Each link begins with it.
+     * Defaults to `fencingToken`.
      */
     readonly newestToken?: () => number;
     readonly leaseMs: number;
-    /** How long a look may wait for an end. */
+    /** How long a look may wait for a run to end. */
     readonly lookWaitMs: number;
     readonly firstLooks: FirstLooks;
     readonly delayedStarts: DelayedStarts;
     readonly lookSlots: LookSlots;
-    /** Pause between looks while the ends that it shows cannot be made durable, or it does not answer. */
+    /** Pause between looks while the worker does not answer; also the longest wait for the commit of ends before the next look. */
     readonly lookPauseMs: number;
     /** Pause before an order is sent, or sent again, to a worker that did not answer. */
     readonly orderPauseMs: number;
-    /** How long a start without an answer may still be carried out. */
+    /** How long after it was sent a start without an answer may still be carried out. */
     readonly unansweredStartMs: number;
-    /** Whether the worker refuses tickets that were given for another incarnation. */
+    /** Whether workers refuse tickets that were issued for another incarnation. */
     readonly ticketsNameIncarnation: boolean;
-    /** Takes what a look brought; resolves when the next look may be sent. */
+    /** Called with the answer to a look; resolves when the next look may be sent. */
     readonly onLook: (
         worker: ShardWorker,
         look: LookResult & { readonly outcome: "done"; },
         sentAtMs: number,
     ) => Promise<void>;
-    /** The worker answers no more. */
+    /** Called when a worker stops answering. */
     readonly onSilent: (worker: ShardWorker) => void;
     readonly onIncarnationOver: (worker: ShardWorker) => void;
-    /** Another incarnation answers under the worker's id; the link is to be closed. */
+    /** Called when another incarnation answers under the worker's id; the callee closes the link. */
     readonly onRestarted: (worker: ShardWorker, bornAtMs: number | undefined) => void;
     readonly onFenced: (worker: ShardWorker) => void;
-    /** The run surely does not and will not run there. */
+    /** Called when a run was surely not started and will not be. */
     readonly onNotStarted: (worker: ShardWorker, run: ShardRun, outcome: OrderOutcome) => void;
     readonly onStarted: (worker: ShardWorker, run: ShardRun) => void;
-    /** A start got no answer; resolves once a commit has brought this owner a newer token. */
+    /** Called when a start got no answer; resolves once a commit has brought this owner a newer token. */
     readonly onUnanswered: (run: ShardRun) => Promise<unknown>;
 }
 
-/** Talks to one worker until it is closed. */
+/** Sends looks and orders to one worker until it is closed. */
 export interface WorkerLink {
     /** Sends the start of a run whose intent is durable. */
     start(run: ShardRun, checkpoint: string, ticket: string): void;
-    /** Stops a run; its room is free only when the worker lists the end. */
+    /** Stops a run; its capacity is free only once the worker lists the end. */
     stop(run: ShardRun): void;
-    /** Stops a run that the book does not have. */
+    /** Stops a run that belongs to no known job. */
     stopUnknown(taskName: string, run: number): void;
-    /** Lets the worker refuse an order that may be under way to it; sent until it is answered. */
+    /** Makes the worker reject a start that may be in flight to it; repeated until it is answered. */
     refuse(order: DelayedStart): void;
-    /** Looks at the worker soon, without waiting for an end there. */
+    /** Sends a look soon that does not wait for a run to end. */
     look(): void;
-    /** Finds out when a worker that left a start without an answer takes orders again. */
+    /** Tests with a harmless order, until it is answered, whether a worker that left a start unanswered takes orders again. */
     probe(order: DelayedStart): void;
     pace(run: ShardRun, percent: number): void;
     close(): void;
 }
 
 /**
- * Opens the link to a worker; it begins to look at once.
+ * Opens the link to a worker; the first look is sent as soon as `firstLooks` allows it.
  *
  * @example
  * const link = openWorkerLink(worker, options);
@@ -100,20 +103,21 @@
     const { clock, log, meter, workers, leaseMs, lookWaitMs, lookPauseMs } = options;
     const newestToken = (): number => Math.max(options.fencingToken, options.newestToken?.() ?? 0);
     /**
-     * What is said to the worker carries it. It rises where another incarnation may answer from now on: that incarnation refuses what was sent
-     * before as soon as a look has reached it. A stop that makes it refuse a run may come as late as the start itself.
+     * Fencing token of the looks and orders that are sent next. It is raised where another incarnation may answer from now
+     * on: once a look with it has reached that incarnation, all orders sent before are rejected there. Stops of these runs
+     * would not do, since they may be delayed as long as the starts.
      */
     let token = newestToken();
     let closed = false;
     /** Whether the newest look was answered, so that the same incarnation most likely answers the next. */
-    let answeredLast = false;
-    /** Highest number that the worker was told, and has answered to know, that the end is durable. */
-    let forgottenEnd = 0;
-    /** Local time of the newest answer, or of the first look. */
-    let heardAtMs = clock.monotonicMs();
-    let patienceMs = shortestPatienceMs;
+    let lastLookAnswered = false;
+    /** Highest end number that was acknowledged in a look that the worker answered. */
+    let deliveredAcknowledgedEnd = 0;
+    /** Local time of the newest answer, or of the first look before any answer. */
+    let lastAnswerAtMs = clock.monotonicMs();
+    let patienceMs = minPatienceMs;
     let endPause: (() => void) | undefined;
-    /** A look that does not wait is wanted; the one under way is abandoned for it where it waits. */
+    /** Whether the next look must not wait. A look under way is abandoned then if it waits. */
     let lookWanted = false;
     let abandonLook: (() => void) | undefined;
 
@@ -130,14 +134,20 @@
             endPause = end;
         });
 
-    /** The worker refused it since a look or an order of this owner with a higher token overtook it; nothing was done. */
+    /**
+     * Whether the worker rejected a call because a look or order of this owner with a higher token reached it first; the call
+     * had no effect.
+     */
     const isOvertaken = (outcome: OrderOutcome, sentToken: number): boolean =>
         outcome === orderOutcomes.fenced && sentToken < token;
 
-    /** Tells the shard where this owner, or this incarnation of the worker, is over; nothing more is said to it then. */
+    /**
+     * Reports an outcome by which this owner or the worker's incarnation is over; returns true where nothing more may be sent
+     * on this link.
+     */
     const endsLink = (outcome: OrderOutcome, sentToken: number): boolean => {
         if (closed) {
-            // The next incarnation's link may have raised the token.
+            // The link of the next incarnation may have raised the token.
             return true;
         }
         if (isOvertaken(outcome, sentToken)) {
@@ -155,30 +165,35 @@
     };
 
     /**
-     * A daemon that reads answers too late must not take sound workers for silent: it would renew no lease there and place
-     * nothing, while all that runs there ends.
+     * Whether a look counts as late through this daemon's own delay in reading answers; such a delay also raises the patience
+     * of later looks. Healthy workers must not count as silent for it: no leases would be renewed and nothing placed there,
+     * and all that runs there would end.
      */
     const isOwnDelay = (sentAtMs: number, waitMs: number): boolean => {
         const overdueMs = clock.monotonicMs() - sentAtMs - waitMs - patienceMs;
-        if (overdueMs <= ownLateMs) {
+        if (overdueMs <= ownDelayThresholdMs) {
             return false;
         }
-        patienceMs = Math.min(longestPatienceMs, 2 * patienceMs);
-        return clock.monotonicMs() - heardAtMs <= forgivenMs;
+        patienceMs = Math.min(maxPatienceMs, 2 * patienceMs);
+        return clock.monotonicMs() - lastAnswerAtMs <= ownDelayGraceMs;
     };
 
     /**
-     * The next incarnation would forget ends that nobody has read, if it were told a number of this one. A look tells one only right
-     * after an answer, and none that it has told already; a look without it is harmless to any incarnation.
+     * The end number that a look acknowledges; 0 for none. Numbers begin anew with each incarnation, and the next one would
+     * discard unread ends if it got a number of this one. A number is therefore sent only right after an answered look, and
+     * not again once a look that carried it was answered.
      */
     const acknowledgedNow = (): number =>
-        answeredLast && worker.acknowledgedEnd > forgottenEnd ? worker.acknowledgedEnd : 0;
+        lastLookAnswered && worker.acknowledgedEnd > deliveredAcknowledgedEnd ? worker.acknowledgedEnd : 0;
 
     /**
-     * Gives undefined where another look is wanted before this one is answered. Its answer is dropped then, since it may be older than
-     * that of the next look; what it lists stays listed.
+     * Returns the answer, or undefined where another look is requested before it comes. The answer is then dropped, since it
+     * may be older than that of the next look, in which the worker lists the same ends again.
      */
-    const untilAbandoned = async (answer: Promise<LookResult>, waitMs: number): Promise<LookResult | undefined> => {
+    const answerUnlessAbandoned = async (
+        answer: Promise<LookResult>,
+        waitMs: number,
+    ): Promise<LookResult | undefined> => {
         if (waitMs === 0) {
             return answer;
         }
@@ -190,54 +205,58 @@
         return look;
     };
 
-    /** An order of a former owner may be under way for any run that no look has shown. */
-    const isOrdered = (): boolean =>
+    /**
+     * Whether orders may be in flight to the worker: starts without an answer, or orders of a former owner for runs that no
+     * look has listed.
+     */
+    const mayHaveOrdersInFlight = (): boolean =>
         options.delayedStarts.of(worker.workerId).length > 0 || [...worker.runs.values()].some(({ shown }) => !shown);
 
     const lookOnce = async (answered: () => void): Promise<void> => {
         const sentAtMs = clock.monotonicMs();
-        if (sentAtMs - heardAtMs > unseenMs) {
+        if (sentAtMs - lastAnswerAtMs > maxLookGapMs) {
             token = newestToken();
         }
-        // A worker that is silent may get each of these orders late; renewing its lease would put off its end for ever.
+        // Looks to a silent worker renew no lease: each may arrive late, and would postpone the time by which its leases are
+        // surely over.
         const deadlineMs = worker.silentLooks > 0 ? undefined : extendLease(worker, sentAtMs, leaseMs);
         const ready = deadlineMs !== undefined;
         const waitMs = ready && !lookWanted ? lookWaitMs : 0;
         lookWanted = false;
         meter.count("looks");
         const acknowledgedEnd = acknowledgedNow();
-        answeredLast = false;
+        lastLookAnswered = false;
         const sentToken = token;
         const order = { fencingToken: sentToken, acknowledgedEnd, deadlineMs, waitMs, patienceMs };
-        const look = await untilAbandoned(workers.look(target(), order), waitMs);
+        const look = await answerUnlessAbandoned(workers.look(target(), order), waitMs);
         answered();
         if (closed || look === undefined) {
             return;
         }
         if (look.outcome === "done") {
-            // Neither its clock nor what it lists has anything to do with the incarnation before.
+            // The answer belongs to the other incarnation, and neither its clock nor its runs apply to this one.
             if (isOtherIncarnation(worker.bornAtMs, look.bornAtMs)) {
                 options.onRestarted(worker, look.bornAtMs);
                 return;
             }
             worker.bornAtMs ??= look.bornAtMs;
-            answeredLast = true;
-            forgottenEnd = Math.max(forgottenEnd, acknowledgedEnd);
+            lastLookAnswered = true;
+            deliveredAcknowledgedEnd = Math.max(deliveredAcknowledgedEnd, acknowledgedEnd);
             const nowMs = clock.monotonicMs();
             worker.clock = { localMs: nowMs, clockMs: look.clockMs };
             worker.answeredAtMs = nowMs;
             worker.silentLooks = 0;
             worker.silentSinceMs = undefined;
-            heardAtMs = nowMs;
-            patienceMs = nowMs - sentAtMs < waitMs + shortestPatienceMs ? shortestPatienceMs : patienceMs;
+            lastAnswerAtMs = nowMs;
+            patienceMs = nowMs - sentAtMs < waitMs + minPatienceMs ? minPatienceMs : patienceMs;
             await options.onLook(worker, look, sentAtMs);
             return;
         }
         if (endsLink(look.outcome, sentToken) || isOvertaken(look.outcome, sentToken)) {
-            // An order with a higher token that came first shows that the worker answers; the next look carries that token.
+            // A call with a higher token came first, which shows that the worker answers; the next look carries the higher token.
             return;
         }
-        // Whatever answers next may be another incarnation.
+        // The next answer may come from another incarnation.
         token = newestToken();
         if (look.outcome === orderOutcomes.unknown && isOwnDelay(sentAtMs, waitMs)) {
             meter.count("looks.ownDelay");
@@ -252,13 +271,13 @@
             options.onSilent(worker);
         }
         if (worker.silentLooks > 1) {
-            await pause(isOrdered() ? options.lookSlots.pauseMs(lookPauseMs) : lookPauseMs);
+            await pause(mayHaveOrdersInFlight() ? options.lookSlots.pauseMs(lookPauseMs) : lookPauseMs);
         }
     };
 
-    const lookAlways = async (): Promise<void> => {
+    const lookRepeatedly = async (): Promise<void> => {
         const answered = await options.firstLooks.enter(() => !closed);
-        heardAtMs = clock.monotonicMs();
+        lastAnswerAtMs = clock.monotonicMs();
         await lookOnce(answered);
         while (!closed) {
             await lookOnce(() => {});
@@ -266,7 +285,7 @@
     };
 
     const lookSoon = (): void => {
-        clock.setTimer(gatherMs, () => {
+        clock.setTimer(lookBatchDelayMs, () => {
             lookWanted = true;
             abandonLook?.();
         });
@@ -288,7 +307,7 @@
         onNotStarted: (run, outcome) => options.onNotStarted(worker, run, outcome),
     });
 
-    void lookAlways();
+    void lookRepeatedly();
     return {
         start: (run, checkpoint, ticket) => {
             run.phase = runPhases.starting;
