--- a/packages/puffinarch/src/core/shard/correlatedCrashes.ts
+++ b/packages/puffinarch/src/core/shard/correlatedCrashes.ts
@@ -1,34 +1,40 @@
 /**
- * Workers that fell silent, and when. Many that fall at one moment under tasks of different jobs have a common cause, such as
- * the power of a rack: 12 workers may go at once with hundreds of sound tasks on them, and the same task may be hit again.
+ * Records when workers fell silent. Workers that do so at one moment under tasks of different jobs have a common cause, such
+ * as a rack's power: 12 workers may go at once with hundreds of sound tasks on them, and the same task may be hit again.
  */
 
 import type { CrashedRun } from "./crashes.js";
 import { incarnationKey, type WorkerIncarnation } from "./incarnations.js";
 import type { ShardJob } from "./jobBook.js";
 
-/** Remembers how workers fell silent. */
+/** Records which workers fell silent, when, and under which jobs. */
 export interface CorrelatedCrashes {
-    /** An incarnation of a worker has fallen silent, with these runs that had just been started. */
+    /** Records that an incarnation fell silent, and the runs that had just been started on it. */
     note(incarnation: WorkerIncarnation, atMs: number, runs: readonly CrashedRun[]): void;
-    /** This incarnation answers: it had not crashed. One that answers under its id later says nothing of it. */
+    /**
+     * Removes an incarnation that answers again, as it had not crashed. An answer of a later incarnation under the id leaves
+     * the record.
+     */
     answered(incarnation: WorkerIncarnation): void;
-    /** Workers that fell at the same moment and had no task of the job that had just been started. */
+    /** Counts the workers that fell silent at the same moment and had not just started a task of the job. */
     othersAt(atMs: number, job: ShardJob): number;
 }
 
-/** Connections to workers that go down together are lost together; this daemon reads it within this time. */
-const sameMomentMs = 150;
-/** A crash is known for sure once the worker is back, some seconds after; silent ones longer ago say nothing of it. */
-const keptMs = 60_000;
+/** Workers that go down together lose their connections together; this daemon notices all of them within this time. */
+const coincidenceWindowMs = 150;
+/**
+ * How long silences are kept. A crash is confirmed when the worker is back, some seconds later, so that older silences are
+ * not needed.
+ */
+const retentionMs = 60_000;
 
-interface Fall {
+interface SilentWorker {
     readonly atMs: number;
     readonly jobs: ReadonlySet<ShardJob>;
 }
 
 /**
- * Makes the memory of one owner.
+ * Creates the records of one shard owner.
  *
  * @example
  * const correlatedCrashes = createCorrelatedCrashes();
@@ -36,11 +42,11 @@
  * correlatedCrashes.othersAt(1_050, job); // 1
  */
 export const createCorrelatedCrashes = (): CorrelatedCrashes => {
-    const byIncarnation = new Map<string, Fall>();
+    const byIncarnation = new Map<string, SilentWorker>();
     return {
         note: (incarnation, atMs, runs) => {
-            for (const [known, fall] of byIncarnation) {
-                if (atMs - fall.atMs > keptMs) {
+            for (const [known, silent] of byIncarnation) {
+                if (atMs - silent.atMs > retentionMs) {
                     byIncarnation.delete(known);
                 }
             }
@@ -54,8 +60,8 @@
         },
         othersAt: (atMs, job) => {
             let others = 0;
-            for (const fall of byIncarnation.values()) {
-                others += Math.abs(fall.atMs - atMs) <= sameMomentMs && !fall.jobs.has(job) ? 1 : 0;
+            for (const silent of byIncarnation.values()) {
+                others += Math.abs(silent.atMs - atMs) <= coincidenceWindowMs && !silent.jobs.has(job) ? 1 : 0;
             }
             return others;
         },
--- a/packages/puffinarch/src/core/shard/crashes.ts
+++ b/packages/puffinarch/src/core/shard/crashes.ts
@@ -1,24 +1,24 @@
 /**
- * Workers that crash under tasks. What is lost with its worker has no end, so that the attempts of a task never run out
- * under it: one task that crashes each worker that starts it took down 4 to 8 of 40 workers for as long as its job lasted. Each
- * crash is therefore counted for the tasks that may have caused it, in the job's row.
+ * Counts worker crashes against the tasks that may have caused them. A run that is lost with its worker has no end and uses
+ * up no attempt: without these counts, one task that crashes each worker that starts it kept 4 to 8 of 40 workers down for as
+ * long as its job lasted. The counts are part of the job's row.
  */
 
 import { failureCauses } from "../../types/work.js";
 import { failJob, jobOf, runPhases, type ShardJob, type ShardRun, type ShardTask } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** A run whose worker crashed so soon after its start that it may be the cause. */
+/** A run that may have crashed its worker, since the worker crashed so soon after the run's start. */
 export interface CrashedRun {
     readonly task: ShardTask;
     readonly run: number;
-    /** When the incarnation of its worker began that crashed; undefined where that is not known. */
+    /** When the crashed incarnation of its worker began; undefined where that is not known. */
     readonly bornAtMs: number | undefined;
     /** Local time at which its worker fell silent. */
     readonly goneAtMs: number;
     /**
-     * Its worker had said that it runs, and was seen to crash. The order for any other run may never have been carried out, and a run may
-     * have ended, unread, long before a crash behind a cut link.
+     * Its worker had reported it as running, and was seen to crash. The start of any other run may never have been carried
+     * out, or the run may have ended, unreported, long before a crash behind a broken network link.
      */
     readonly confirmed: boolean;
     /** It had surely just started there and no task of another job had, so that nothing else there can be the cause. */
@@ -26,72 +26,85 @@
 }
 
 /**
- * A run that has been at work for this long does not crash its worker by being started; a task that lasts would else be
- * given up for the crashes of a month. As long as a lease, within which a silent worker's end is known.
+ * A run that has been at work for this long does not crash its worker on start, and clears its task's counts; a long-running
+ * task would otherwise be given up for unrelated crashes over a month. As long as a lease, within which a silent worker's end
+ * is known.
  */
 const soundAfterMs = 5_000;
 /**
- * A task that crashes its worker by being started has done so by then. Where something was started so shortly before, it is
- * the cause, and not what had been at work for longer.
+ * A task that crashes its worker on start does so within this time. Runs that had been at work for longer when their worker
+ * crashed are not blamed where others had just started.
  */
 export const atWorkMs = 300;
-/** Workers that crash under a task by chance, or by the task beside it, until it runs by itself to tell them apart. */
-const crashesToSeparate = 2;
-/** A task is given up once this many workers have crashed under it, the last of them with nothing else to blame. */
+/**
+ * After this many crashes a task runs on a worker by itself, to tell whether it is the cause, rather than chance or a task
+ * beside it.
+ */
+const crashesForTrial = 2;
+/** A task is given up once this many workers have surely crashed under it, the last of them with no other possible cause. */
 const crashesToGiveUp = 3;
-/** Where no worker could be found on which nothing else had just started, two more crashes have to do. */
-const mostCrashes = 5;
-/** A worker that crashed and is not back this long after its leases, some 17 s in all, is taken for gone. */
-const verdictMs = 12_000;
-/** This many workers that go down at the same moment without a task of the job speak for a cause outside of it. */
-const othersToExcuse = 4;
-/** No more crashes of a task are excused: five that crash their workers by themselves may do so at the same moment. */
-const mostExcused = 2;
+/** A task is given up at this many crashes even if other tasks had just started on each of the workers too. */
+const maxCrashes = 5;
+/** A silent worker that is not back this long after its leases ended, some 17 s in all, is no longer waited for. */
+const maxConfirmationWaitMs = 12_000;
+/**
+ * A crash is excused where at least this many other workers went down at the same moment without a task of the job: the cause
+ * is outside of it.
+ */
+const minOthersToExcuse = 4;
+/** Most crashes of a task that are excused: five tasks that each crash their worker may do so at the same moment. */
+const maxExcusedCrashes = 2;
 
-/** Whether the time at which the worker fell silent is that of its crash. */
+/** Whether the time of the worker's crash is known: it restarted before a look failed, or its connection was lost. */
 const wasSeenToCrash = ({ silentSinceMs, connectionLost }: ShardWorker): boolean =>
     silentSinceMs === undefined || connectionLost;
 
-/** When the run began as far as this owner knows; undefined where it took the run over and never saw it at work. */
-const sinceMs = ({ sentAtMs, startedAtMs }: ShardRun): number | undefined => sentAtMs ?? startedAtMs;
+/**
+ * Local time at which the run began, as far as this owner knows; undefined for a run of a former owner that no look has shown
+ * at work.
+ */
+const beganAtMs = ({ sentAtMs, startedAtMs }: ShardRun): number | undefined => sentAtMs ?? startedAtMs;
 
 /**
- * Names the runs of a worker that may have crashed it: their order was sent, not long before the worker fell silent.
+ * Returns the runs that may have crashed a worker: those that had just been started when it fell silent, or else those at
+ * work for less than `soundAfterMs` by then.
  *
  * @example
  * const suspects = crashedRuns(worker, clock.monotonicMs());
  */
 export const crashedRuns = (worker: ShardWorker, nowMs: number): readonly CrashedRun[] => {
     const goneAtMs = worker.silentSinceMs ?? nowMs;
-    // What was sent after the worker had fallen silent cannot be why.
+    // A run sent after the worker fell silent cannot be the cause.
     const sent = [...worker.runs.values()].filter(run =>
-        run.phase !== runPhases.planned && !run.absent && (sinceMs(run) ?? goneAtMs) <= goneAtMs
+        run.phase !== runPhases.planned && !run.absent && (beganAtMs(run) ?? goneAtMs) <= goneAtMs
+    );
+    // Over a broken link the silence is noticed long after the crash, so runs that no look has shown at work are suspects too.
+    const justStarted = sent.filter(run =>
+        !run.shown || worker.answeredAtMs - (beganAtMs(run) ?? -Infinity) < atWorkMs
     );
-    // When it went is known only from its silence, which a cut link shows late: what no answer has shown at work may be to blame.
-    const justStarted = sent.filter(run => !run.shown || worker.answeredAtMs - (sinceMs(run) ?? -Infinity) < atWorkMs);
     const possible = justStarted.length > 0
         ? justStarted
-        : sent.filter(run => goneAtMs - (sinceMs(run) ?? goneAtMs) < soundAfterMs);
+        : sent.filter(run => goneAtMs - (beganAtMs(run) ?? goneAtMs) < soundAfterMs);
     return possible.map(run => ({
         task: run.task,
         run: run.run,
         bornAtMs: worker.bornAtMs ?? run.bornAtMs,
         goneAtMs,
         confirmed: run.startedAtMs !== undefined && wasSeenToCrash(worker) || run.run === run.task.confirmedRun,
-        alone: sinceMs(run) !== undefined && possible.every(other => jobOf(other) === jobOf(run)),
+        alone: beganAtMs(run) !== undefined && possible.every(other => jobOf(other) === jobOf(run)),
     }));
 };
 
-/** Starts that nobody saw end speak against a task only beside this many crashes that surely were. */
-const crashesToBelieve = 2;
+/** Possible crashes count towards giving a task up only besides at least this many confirmed ones. */
+const minConfirmedCrashes = 2;
 
-/** Gives the job up where its task has crashed enough workers, whatever its attempts: these count what workers say of runs that end. */
+/** Fails the job once its task has crashed too many workers. Attempts do not matter here: they count only ends that workers report. */
 const failAfterCrashes = (task: ShardTask, alone: boolean, nowMs: number): void => {
     const { crashes, crashesExcused, crashesUnconfirmed, possibleCrashes } = task;
     const confirmed = crashes - crashesUnconfirmed;
     const counted = crashes + crashesExcused;
-    const isGivenUp = confirmed >= crashesToGiveUp && alone || counted >= mostCrashes
-        || confirmed >= crashesToBelieve && counted + possibleCrashes >= mostCrashes;
+    const isGivenUp = confirmed >= crashesToGiveUp && alone || counted >= maxCrashes
+        || confirmed >= minConfirmedCrashes && counted + possibleCrashes >= maxCrashes;
     if (isGivenUp) {
         const failure = { cause: failureCauses.crashes, taskName: task.name, count: counted };
         failJob(task.step.occurrence.job, failure, nowMs);
@@ -99,8 +112,9 @@
 };
 
 /**
- * Counts the crash of a worker for a task; false where a later run has shown the task to be sound. `others` is the number
- * of workers that went down at the same moment without a task of its job. The job is given up where the task is the cause.
+ * Counts the crash of a worker against a task, and fails the job where the task is the cause. `others` is the number of
+ * workers that went down at the same moment without a task of its job. Returns false where the task is done or a later run
+ * has shown it to be sound.
  *
  * @example
  * if (countCrash(crashed, { others: 0, nowMs: clock.monotonicMs() })) { onChange(crashed.task.step.occurrence.job); }
@@ -112,13 +126,13 @@
     if (task.done || run <= task.soundRun) {
         return false;
     }
-    const excused = others >= othersToExcuse && task.crashesExcused < mostExcused;
+    const excused = others >= minOthersToExcuse && task.crashesExcused < maxExcusedCrashes;
     if (excused) {
         task.crashesExcused += 1;
     }
     else {
         task.crashes += 1;
-        // A sound task whose order was lost would be given up for a worker that it never ran on.
+        // Counted apart, so that a sound task whose start was lost is not given up for a worker on which it never ran.
         task.crashesUnconfirmed += confirmed ? 0 : 1;
     }
     failAfterCrashes(task, alone && confirmed && !excused, nowMs);
@@ -126,9 +140,9 @@
 };
 
 /**
- * Counts a crash of which nobody knows whether it was: an order that may have been carried out between two answers of its worker. It
- * keeps a task that crashes its workers from being started on and on, and gives no job up without crashes that were seen. False where
- * a later run has shown the task to be sound.
+ * Counts a crash that may not have happened: the start may have been carried out by an incarnation that crashed between two
+ * answers of its worker. Such counts keep a task that crashes its workers from being started for ever, but fail no job
+ * without confirmed crashes. Returns false where the task is done or a later run has shown it to be sound.
  *
  * @example
  * if (countPossibleCrash(run, clock.monotonicMs())) { onChange(jobOf(run)); }
@@ -143,8 +157,9 @@
 };
 
 /**
- * Notes runs of tasks under which workers have crashed before, as their worker falls silent; gives the jobs whose rows have to tell
- * that these runs were confirmed. Their crashes would else ask for one more start of each under a successor.
+ * Records the confirmed runs, on a worker that falls silent, of tasks under which workers have crashed before. Returns the
+ * jobs whose rows have to be written: a successor that did not know these crashes as confirmed would start each task once
+ * more.
  *
  * @example
  * noteConfirmed(crashedRuns(worker, nowMs)).forEach(changed);
@@ -160,37 +175,39 @@
 };
 
 /**
- * Tells whether a task runs by itself until it has shown that its worker stays up: enough workers have crashed under it.
+ * Tells whether a task has to run on a worker by itself, since enough workers have crashed under it and no run has shown it
+ * to be sound.
  *
  * @example
  * needsTrial(task); // false for a task that was started once
  */
 export const needsTrial = ({ crashes, unresolvedLosses }: ShardTask): boolean =>
-    crashes + unresolvedLosses.length >= crashesToSeparate;
+    crashes + unresolvedLosses.length >= crashesForTrial;
 
 /**
- * Tells whether a task waits to know whether a worker crashed under it: it might be started too often. A worker that does
- * not come back is not waited for longer than most take.
+ * Tells whether a task must wait until it is known whether its lost workers crashed, since one more start might crash one too
+ * many. Workers that stay away for longer than most crashed ones are not waited for.
  *
  * @example
  * if (awaitsVerdict(task, clock.monotonicMs())) { return; }
  */
 export const awaitsVerdict = ({ crashes, crashesExcused, unresolvedLosses }: ShardTask, nowMs: number): boolean => {
-    const open = unresolvedLosses.filter(({ lostAtMs }) => nowMs - lostAtMs < verdictMs).length;
+    const open = unresolvedLosses.filter(({ lostAtMs }) => nowMs - lostAtMs < maxConfirmationWaitMs).length;
     return open > 0 && crashes + crashesExcused + open >= crashesToGiveUp;
 };
 
 /**
- * Tells whether one more crash beside others might end a job whose task is not the cause.
+ * Tells whether one more crash might fail the job even if tasks beside this one are the cause.
  *
  * @example
  * isNearEnd(task); // false for a task that was started once
  */
 export const isNearEnd = ({ crashes, crashesExcused }: ShardTask): boolean =>
-    crashes >= crashesToGiveUp || crashes + crashesExcused >= mostCrashes - 1;
+    crashes >= crashesToGiveUp || crashes + crashesExcused >= maxCrashes - 1;
 
 /**
- * Takes note of a run at work; true where it has been for so long that what had been counted for its task is forgotten.
+ * Clears the crash counts of a task whose run has been at work long enough to be sound; returns true where there was
+ * something to clear.
  *
  * @example
  * if (showSound(run, clock.monotonicMs())) { onChange(job); }
@@ -198,7 +215,7 @@
 export const showSound = (run: ShardRun, nowMs: number): boolean => {
     const { task } = run;
     const counted = task.crashes + task.crashesExcused + task.possibleCrashes;
-    if (counted === 0 || nowMs - (sinceMs(run) ?? nowMs) < soundAfterMs) {
+    if (counted === 0 || nowMs - (beganAtMs(run) ?? nowMs) < soundAfterMs) {
         return false;
     }
     task.crashes = 0;
--- a/packages/puffinarch/src/core/shard/trials.ts
+++ b/packages/puffinarch/src/core/shard/trials.ts
@@ -1,41 +1,45 @@
 /**
- * Trials: how tasks under which workers have crashed are started again, so that what else runs loses little by it. A step
- * of which a worker crashed goes on with one task until one of the step is at work; a task under which two crashed runs on
- * a worker by itself until it is.
+ * Restarts tasks under which workers have crashed with little risk to other runs. Once a worker has crashed under a step, one
+ * task of the step is started at a time until one is at work. Once two have crashed under a task, it is on trial: it runs on
+ * a worker by itself until it is at work.
  */
 
 import { atWorkMs, awaitsVerdict, isNearEnd, needsTrial } from "./crashes.js";
 import { jobOf, runPhases, type ShardJob, type ShardRun, type ShardStep, type ShardTask } from "./jobBook.js";
 import { runKey, type ShardWorker } from "./workerTable.js";
 
-/** A task on trial shares its worker sooner than its job should stand still: what runs there loses less than its callers. */
-const longestWaitMs = 1_500;
 /**
- * A job that might be given up for what runs beside it waits longer, since tasks of a second or so have left a worker by then;
- * not for so long that nothing of it runs for 3 s though there is room, which its callers count as lost.
+ * A task on trial that has waited this long for a worker by itself may share one: the delay of its job costs more than a
+ * crash there.
  */
-const longestWaitNearEndMs = 2_000;
+const maxTrialWaitMs = 1_500;
 /**
- * A step of which nothing is at work goes on elsewhere while so many workers lie silent since they were sent a task of it;
- * once one of them has surely crashed, it waits for the others.
+ * The wait is longer where one more crash might fail the job through the fault of other runs: tasks of a second or so have
+ * ended by then. It leaves time for the start itself, since users count a job as lost of which nothing runs for 3 s though
+ * there is room.
  */
-const mostFallen = 1;
-/** At most this share of the workers is emptied for trials at any moment. */
-const mostHeldShare = 0.25;
+const maxTrialWaitNearLimitMs = 2_000;
+/**
+ * While no task of a step is known to be sound, the step goes on with at most this many workers silent since they were sent a
+ * task of it; once a worker has surely crashed under it, with none.
+ */
+const maxSilentWorkers = 1;
+/** Largest share of the workers that is kept for trials at any time. */
+const maxHeldShare = 0.25;
 
-/** What tells whether a run is at work. */
-interface Sight {
+/** The workers at one moment. */
+interface WorkerSnapshot {
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly nowMs: number;
 }
 
-const isAtWork = (run: ShardRun, { workers, nowMs }: Sight): boolean =>
+const isAtWork = (run: ShardRun, { workers, nowMs }: WorkerSnapshot): boolean =>
     run.phase === runPhases.running && run.startedAtMs !== undefined && nowMs - run.startedAtMs >= atWorkMs
     && workers.get(run.workerId)?.silentLooks === 0;
 
 /**
- * Tells whether a worker fell silent before a run had shown that it is at work: the task may have crashed it, and a copy
- * would crash the next one.
+ * Tells whether a worker fell silent before a run could show to be at work. The task may have crashed it, and a second copy
+ * would crash another worker.
  *
  * @example
  * if (fellAtStart(run, worker)) { return; }
@@ -45,30 +49,33 @@
 
 const hasCrashed = ({ crashes }: ShardTask): boolean => crashes > 0;
 
-/** Whether something of the step runs, or has run, as it should: then not every task of it crashes its worker. */
-const isShown = ({ tasks }: ShardStep, sight: Sight): boolean =>
-    tasks.some(task => task.done || task.runs.some(run => isAtWork(run, sight)));
+/** Whether a task of the step is done or at work, so that not every task of it crashes its worker. */
+const hasSoundTask = ({ tasks }: ShardStep, snapshot: WorkerSnapshot): boolean =>
+    tasks.some(task => task.done || task.runs.some(run => isAtWork(run, snapshot)));
 
-/** Workers that fell silent as runs of the step had just been started there; whether they crashed is known seconds later. */
-const fallenWorkers = ({ tasks }: ShardStep, { workers }: Sight): ReadonlySet<string> => {
-    const fallen = new Set<string>();
+/** Workers that fell silent just after they were sent runs of the step. Whether they crashed is known some seconds later. */
+const workersSilentSinceStart = ({ tasks }: ShardStep, { workers }: WorkerSnapshot): ReadonlySet<string> => {
+    const silent = new Set<string>();
     for (const task of tasks) {
         for (const run of task.runs) {
             const worker = workers.get(run.workerId);
             if (worker !== undefined && fellAtStart(run, worker)) {
-                fallen.add(worker.workerId);
+                silent.add(worker.workerId);
             }
         }
     }
-    return fallen;
+    return silent;
 };
 
-/** One that fails by itself shows nothing of the others of its step, which wait for as long as it is tried. */
-const mostCrashed = (tasks: readonly ShardTask[]): readonly ShardTask[] =>
+/**
+ * The task to start next: the one with most crashes, then with fewest failures, since a task that fails by itself proves
+ * nothing for the other tasks of its step, which wait meanwhile.
+ */
+const firstToRetry = (tasks: readonly ShardTask[]): readonly ShardTask[] =>
     [...tasks].sort((left, right) => right.crashes - left.crashes || left.failures - right.failures).slice(0, 1);
 
 /**
- * Chooses those of a step's waiting tasks that may be started now.
+ * Returns those of a step's waiting tasks that may be started now.
  *
  * @example
  * for (const task of startable(step, waiting, { workers, nowMs })) { place(task); }
@@ -76,104 +83,115 @@
 export const startable = (
     step: ShardStep,
     all: readonly ShardTask[],
-    sight: Sight,
+    snapshot: WorkerSnapshot,
 ): readonly ShardTask[] => {
-    const waiting = all.filter(task => !awaitsVerdict(task, sight.nowMs));
+    const waiting = all.filter(task => !awaitsVerdict(task, snapshot.nowMs));
     if (step.spec.gang) {
         return waiting;
     }
-    const fallen = fallenWorkers(step, sight);
-    const counted = isSuspect(step);
-    if (fallen.size === 0 && !counted) {
+    const silent = workersSilentSinceStart(step, snapshot);
+    const suspect = isSuspect(step);
+    if (silent.size === 0 && !suspect) {
         return waiting;
     }
     const live = step.tasks.flatMap(task => task.runs).filter(run =>
-        !run.absent && !isAtWork(run, sight) && !fallen.has(run.workerId)
+        !run.absent && !isAtWork(run, snapshot) && !silent.has(run.workerId)
     );
-    if (!isShown(step, sight)) {
-        const tooMany = fallen.size > (counted ? 0 : mostFallen);
-        return live.length > 0 || tooMany ? [] : mostCrashed(waiting);
+    if (!hasSoundTask(step, snapshot)) {
+        const tooMany = silent.size > (suspect ? 0 : maxSilentWorkers);
+        return live.length > 0 || tooMany ? [] : firstToRetry(waiting);
     }
     const onTrial = live.some(run => needsTrial(run.task));
     return [
-        ...onTrial ? [] : mostCrashed(waiting.filter(needsTrial)),
+        ...onTrial ? [] : firstToRetry(waiting.filter(needsTrial)),
         ...waiting.filter(task => !needsTrial(task)),
     ];
 };
 
 /**
- * Tells whether a worker is kept from a job, since a task of another one is on trial there.
+ * Tells whether a worker must not start tasks of a job, since it is kept for the trial of another job or runs a task of one
+ * on trial.
  *
  * @example
  * isKeptFrom(worker, step.occurrence.job, { workers, nowMs });
  */
-export const isKeptFrom = ({ trial, trialHold, runs }: ShardWorker, job: ShardJob, sight: Sight): boolean => {
-    if (trialHold !== undefined && trialHold.job !== job && sight.nowMs < trialHold.untilMs) {
+export const isKeptFrom = (
+    { trial, trialHold, runs }: ShardWorker,
+    job: ShardJob,
+    snapshot: WorkerSnapshot,
+): boolean => {
+    if (trialHold !== undefined && trialHold.job !== job && snapshot.nowMs < trialHold.untilMs) {
         return true;
     }
     return trial !== undefined && !trial.absent && jobOf(trial) !== job && runs.has(runKey(trial.task.name, trial.run))
-        && !isAtWork(trial, sight);
+        && !isAtWork(trial, snapshot);
 };
 
-const waitMsOf = (task: ShardTask): number => isNearEnd(task) ? longestWaitNearEndMs : longestWaitMs;
+const maxTrialWaitMsOf = (task: ShardTask): number => isNearEnd(task) ? maxTrialWaitNearLimitMs : maxTrialWaitMs;
 
-/** Whether an order that got no answer may still be under way to the worker, which its next incarnation would carry out. */
-const losesOrders = ({ unansweredStarts, startUnansweredAtMs }: ShardWorker, nowMs: number): boolean =>
-    unansweredStarts > 0 && nowMs - startUnansweredAtMs < longestWaitMs;
+/**
+ * Whether a start to the worker went unanswered so lately that it may still be in flight, and be carried out by the next
+ * incarnation.
+ */
+const lostOrderRecently = ({ unansweredStarts, startUnansweredAtMs }: ShardWorker, nowMs: number): boolean =>
+    unansweredStarts > 0 && nowMs - startUnansweredAtMs < maxTrialWaitMs;
 
 /**
- * Tells whether a task may run on a worker as far as its trial is concerned: nothing else runs there, or it has waited long. No
- * task under which a worker has crashed goes to one that has just lost an order: it might crash a worker later, unseen.
+ * Tells whether a task may run on a worker as far as trials are concerned: it is not on trial, no other job runs there, or it
+ * has waited too long. A task under which a worker has crashed is not sent to a worker that has just lost a start: the start
+ * might be carried out late and crash the worker unnoticed.
  *
  * @example
  * allowsTrial(worker, task, clock.monotonicMs());
  */
 export const allowsTrial = (worker: ShardWorker, task: ShardTask, nowMs: number): boolean => {
-    if (hasCrashed(task) && losesOrders(worker, nowMs)) {
+    if (hasCrashed(task) && lostOrderRecently(worker, nowMs)) {
         return false;
     }
-    if (!needsTrial(task) || nowMs - (task.trialWantedAtMs ?? nowMs) >= waitMsOf(task)) {
+    if (!needsTrial(task) || nowMs - (task.trialWantedAtMs ?? nowMs) >= maxTrialWaitMsOf(task)) {
         return true;
     }
     const { job } = task.step.occurrence;
-    return otherRuns(worker, job) === 0;
+    return countOtherRuns(worker, job) === 0;
 };
 
-/** What the worker refuses when it comes takes no part in a trial there. */
-const otherRuns = ({ runs }: ShardWorker, job: ShardJob): number =>
+/** Counts the runs of other jobs on a worker. Absent runs take no part: the worker rejects them. */
+const countOtherRuns = ({ runs }: ShardWorker, job: ShardJob): number =>
     [...runs.values()].filter(run => jobOf(run) !== job && !run.absent).length;
 
-/** Whether a worker is empty in a while if nothing more is started there. */
-const emptiesSoon = ({ runs }: ShardWorker): boolean =>
+/** Whether a worker becomes empty in a while if nothing more is started there. */
+const hasNoLongRunningRuns = ({ runs }: ShardWorker): boolean =>
     [...runs.values()].every(({ task, absent }) => absent || !task.step.spec.longRunning);
 
 /**
- * Keeps a worker from other jobs until a task on trial may run there by itself: the one with the fewest runs of others
- * among those that may run its step. Nothing is done while the job has one, or where too many are kept already.
+ * Keeps other jobs off a worker until a task on trial can run there by itself. Takes the candidate with the fewest runs of
+ * other jobs; does nothing while a worker is kept for the job already, or too many workers are kept.
  *
  * @example
  * holdForTrial(task, candidates, { workers, nowMs });
  */
-export const holdForTrial = (task: ShardTask, candidates: readonly ShardWorker[], sight: Sight): void => {
+export const holdForTrial = (task: ShardTask, candidates: readonly ShardWorker[], snapshot: WorkerSnapshot): void => {
     const { job } = task.step.occurrence;
-    const { workers, nowMs } = sight;
+    const { workers, nowMs } = snapshot;
     const isHeld = ({ trialHold }: ShardWorker): boolean => trialHold !== undefined && nowMs < trialHold.untilMs;
     const held = [...workers.values()].filter(isHeld);
     if (
-        held.some(({ trialHold }) => trialHold?.job === job) || held.length >= Math.max(1, mostHeldShare * workers.size)
+        held.some(({ trialHold }) => trialHold?.job === job) || held.length >= Math.max(1, maxHeldShare * workers.size)
     ) {
         return;
     }
-    const able = candidates.filter(worker => !isHeld(worker) && emptiesSoon(worker) && !isKeptFrom(worker, job, sight))
-        .sort((left, right) => otherRuns(left, job) - otherRuns(right, job));
+    const able = candidates.filter(worker =>
+        !isHeld(worker) && hasNoLongRunningRuns(worker) && !isKeptFrom(worker, job, snapshot)
+    )
+        .sort((left, right) => countOtherRuns(left, job) - countOtherRuns(right, job));
     const [chosen] = able;
     if (chosen !== undefined) {
-        chosen.trialHold = { job, untilMs: (task.trialWantedAtMs ?? nowMs) + waitMsOf(task) };
+        chosen.trialHold = { job, untilMs: (task.trialWantedAtMs ?? nowMs) + maxTrialWaitMsOf(task) };
     }
 };
 
 /**
- * Tells whether a worker has crashed under a task of the step.
+ * Tells whether a worker has crashed under any task of the step.
  *
  * @example
  * isSuspect(step); // false for a step none of whose workers crashed
@@ -181,8 +199,8 @@
 export const isSuspect = ({ tasks }: ShardStep): boolean => tasks.some(hasCrashed);
 
 /**
- * Share of the runs that the loss of a worker would harm: those of other jobs for a suspect step, those of suspect tasks for
- * any other; 0 where nothing speaks against the worker.
+ * Rates, as n/(n+1), the number n of runs that a crash on a worker would put at risk or that may cause one: all runs of other
+ * jobs for a suspect step, and only those of tasks under which workers have crashed for any other step.
  *
  * @example
  * const value = -companyOf(worker, job, isSuspect(step));
