--- a/packages/puffinarch/src/core/shard/delayedStarts.ts
+++ b/packages/puffinarch/src/core/shard/delayedStarts.ts
@@ -1,36 +1,37 @@
 /**
- * Starts that got no answer, by worker. Such an order names the worker's ID alone and may be carried out seconds later, by an
- * incarnation that knows neither that it was stopped nor under which token it was sent. Each next one is therefore told to refuse it.
+ * Tracks unanswered starts by worker. Such an order names only the worker's id and may be carried out seconds later, by an
+ * incarnation that knows neither that the run was stopped nor a newer fencing token. Each new incarnation is therefore told
+ * to reject it.
  */
 
 import type { Clock } from "../../types/ports.js";
 import { runKey } from "./workerTable.js";
 
-/** A start by its task and run. */
+/** Identifies a start by its task and run. */
 export interface DelayedStart {
     readonly taskName: string;
     readonly run: number;
 }
 
-/** Remembers starts that may still be carried out. */
+/** Keeps starts that may still be carried out. */
 export interface DelayedStarts {
-    /** The start got no answer from this worker. */
+    /** Records a start that got no answer from this worker, or that a former owner sent and that may still be in flight. */
     note(workerId: string, order: DelayedStart): void;
-    /** Whether it may still be under way. */
+    /** Whether a recorded start may still be in flight. */
     has(workerId: string, order: DelayedStart): boolean;
-    /** All that may still be under way to a worker. */
+    /** All recorded starts that may still be in flight to a worker. */
     of(workerId: string): readonly DelayedStart[];
 }
 
-/** Whatever delays an order on its way to a worker, or in one that is busy, is over by then: more than two leases. */
-const longestDelayMs = 12_000;
+/** Longest time for which an order may be delayed, on its way or in a busy worker: more than two leases. */
+const maxDelayMs = 12_000;
 
-interface Expected extends DelayedStart {
+interface TrackedStart extends DelayedStart {
     readonly untilMs: number;
 }
 
 /**
- * Makes the memory of one owner.
+ * Creates the records of one owner.
  *
  * @example
  * const delayed = createDelayedStarts(clock);
@@ -38,10 +39,10 @@
  * delayed.of("i-1").length; // 1
  */
 export const createDelayedStarts = (clock: Clock): DelayedStarts => {
-    const byWorker = new Map<string, Map<string, Expected>>();
+    const byWorker = new Map<string, Map<string, TrackedStart>>();
 
-    const openOf = (workerId: string): ReadonlyMap<string, Expected> => {
-        const open = byWorker.get(workerId) ?? new Map<string, Expected>();
+    const openOf = (workerId: string): ReadonlyMap<string, TrackedStart> => {
+        const open = byWorker.get(workerId) ?? new Map<string, TrackedStart>();
         for (const [key, { untilMs }] of open) {
             if (untilMs < clock.monotonicMs()) {
                 open.delete(key);
@@ -55,9 +56,9 @@
 
     return {
         note: (workerId, { taskName, run }) => {
-            const open = byWorker.get(workerId) ?? new Map<string, Expected>();
+            const open = byWorker.get(workerId) ?? new Map<string, TrackedStart>();
             byWorker.set(workerId, open);
-            open.set(runKey(taskName, run), { taskName, run, untilMs: clock.monotonicMs() + longestDelayMs });
+            open.set(runKey(taskName, run), { taskName, run, untilMs: clock.monotonicMs() + maxDelayMs });
         },
         has: (workerId, { taskName, run }) => openOf(workerId).has(runKey(taskName, run)),
         of: workerId => [...openOf(workerId).values()],
--- a/packages/puffinarch/src/core/shard/incarnations.ts
+++ b/packages/puffinarch/src/core/shard/incarnations.ts
@@ -1,18 +1,18 @@
 /**
- * Incarnations of a worker. One that starts again under its id holds and knows nothing of before: no fencing token, no run that was
- * stopped or ended there, and its ends and its clock are counted anew. What an owner knows of a worker is therefore known of
- * one incarnation of it.
+ * Identifies the incarnations of a worker. A worker that restarts under its id has lost its whole state: fencing token, runs,
+ * and which runs were stopped or ended; its end numbers and its clock begin anew. An owner therefore keeps what it knows of a
+ * worker by incarnation.
  */
 
-/** A worker's id and when this incarnation of it began; undefined where that is not known, or each incarnation has an id of its own. */
+/** A worker's id and when this incarnation began; undefined where that is not known, or where each incarnation has its own id. */
 export interface WorkerIncarnation {
     readonly workerId: string;
     readonly bornAtMs: number | undefined;
 }
 
 /**
- * Tells whether two moments at which incarnations under one id began are surely those of two incarnations. Their order says nothing: they
- * are read off a clock that may be stepped.
+ * Tells whether two start times under one worker id surely belong to different incarnations. Which is larger does not show
+ * which is newer, since they come from a clock that may be stepped.
  *
  * @example
  * isOtherIncarnation(1_768_565_282_669, 1_768_565_290_012); // true
@@ -22,7 +22,7 @@
     left !== undefined && right !== undefined && left !== right;
 
 /**
- * Gives a key under which something is remembered of one incarnation of a worker.
+ * Returns a key for data kept about one incarnation of a worker.
  *
  * @example
  * incarnationKey({ workerId: "i-1", bornAtMs: 1_768_565_282_669 }); // "i-1@1768565282669"
@@ -31,7 +31,7 @@
     bornAtMs === undefined ? workerId : `${workerId}@${bornAtMs}`;
 
 /**
- * Gives what names an incarnation in the log.
+ * Returns the fields that identify an incarnation in log entries.
  *
  * @example
  * log.write("warn", "workerSilent", { ...incarnationOf(worker) });
--- a/packages/puffinarch/src/core/shard/lostRuns.ts
+++ b/packages/puffinarch/src/core/shard/lostRuns.ts
@@ -1,40 +1,40 @@
 /**
- * Runs on workers that fell silent until their leases were over. Nobody knows then whether the worker crashed or was only
- * cut off: another incarnation under its ID or at its address shows a crash, an answer of the same one that there was none. The
- * losses stand in the rows of their jobs, so that a successor counts what its predecessor could not settle.
+ * Tracks runs on workers that stayed silent until their leases were over. Such a worker may have crashed or only been
+ * unreachable: another incarnation under its id or at its address shows that it crashed, an answer of the same incarnation
+ * that it did not. The losses are stored with their jobs, so that a successor can settle those that this owner did not.
  */
 
 import type { CrashedRun } from "./crashes.js";
 import { isOtherIncarnation, type WorkerIncarnation } from "./incarnations.js";
 import type { ShardJob } from "./jobBook.js";
 
-/** A worker by its ID, and where it was reached. */
+/** A worker's id, and the address at which it was reached. */
 export interface LostWorker {
     readonly workerId: string;
     readonly address: string;
 }
 
-/** Remembers what may have crashed silent workers. */
+/** Keeps the runs that may have crashed silent workers, until that is known. */
 export interface LostRuns {
-    /** The leases of a silent worker are over, with these runs. */
+    /** Records runs whose leases on a silent worker are over. */
     lose(worker: LostWorker, runs: readonly CrashedRun[], nowMs: number): void;
-    /** The worker has answered; gives the runs that were lost with another incarnation of it. */
+    /** Settles the losses of a worker that answers; returns the runs that were lost with another incarnation of it. */
     answered(incarnation: WorkerIncarnation): readonly CrashedRun[];
-    /** Another worker is at the address; gives the runs that were lost with the one before. */
+    /** Settles the losses of other workers at an address where a new worker is; returns their runs. */
     replaced(address: string, nextId: string): readonly CrashedRun[];
 }
 
-/** Workers without an answer that are remembered; a data centre has some hundreds. */
-const mostWorkers = 1_000;
+/** Most silent workers whose losses are kept; a data centre has some hundreds of workers. */
+const maxWorkers = 1_000;
 
-interface Losses {
+interface WorkerLosses {
     readonly address: string;
     readonly runs: readonly CrashedRun[];
 }
 
 /**
- * Makes the memory of one owner. A job is told of once a loss of it is settled, so that its row lists that loss no more: a successor
- * might count it for a crash that came later.
+ * Creates the losses of one owner. `onSettled` is called for a job once one of its losses is settled, so that its row is
+ * written without that loss: a successor might count it for a later crash.
  *
  * @example
  * const lost = createLostRuns(job => changed.add(job));
@@ -43,9 +43,9 @@
  * lost.replaced("10.0.0.1:1", "i-2");
  */
 export const createLostRuns = (onSettled: (job: ShardJob) => void): LostRuns => {
-    const byWorker = new Map<string, Losses>();
+    const byWorker = new Map<string, WorkerLosses>();
 
-    const resolve = ({ task, run }: CrashedRun): void => {
+    const removeLoss = ({ task, run }: CrashedRun): void => {
         const index = task.unresolvedLosses.findIndex(loss => loss.run === run);
         if (index >= 0) {
             task.unresolvedLosses.splice(index, 1);
@@ -53,12 +53,12 @@
         }
     };
 
-    /** Forgets a worker; its runs are not unresolved any more. */
+    /** Removes the losses of a worker, also from their tasks; returns its runs. */
     const settle = (workerId: string): readonly CrashedRun[] => {
         const runs = byWorker.get(workerId)?.runs ?? [];
         byWorker.delete(workerId);
         for (const lost of runs) {
-            resolve(lost);
+            removeLoss(lost);
         }
         return runs;
     };
@@ -68,7 +68,7 @@
                 return;
             }
             const [oldest] = byWorker.keys();
-            if (oldest !== undefined && byWorker.size >= mostWorkers) {
+            if (oldest !== undefined && byWorker.size >= maxWorkers) {
                 settle(oldest);
             }
             for (const { task, run, bornAtMs, alone, confirmed } of runs) {
--- a/packages/puffinarch/src/core/shard/missingRuns.ts
+++ b/packages/puffinarch/src/core/shard/missingRuns.ts
@@ -1,4 +1,7 @@
-/** Runs that a look does not list although their worker was to have them: each is gone, or may still come. */
+/**
+ * Handles runs that a look does not list although their worker should have them: a run is gone, or its start may still be
+ * carried out.
+ */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
 import { endPatience } from "./blockedSteps.js";
@@ -8,26 +11,29 @@
 import { mayArrive } from "./unansweredStart.js";
 import { dropRun, setAbsent, type ShardWorker } from "./workerTable.js";
 
-/** What the review of missing runs needs. */
+/** What `createMissingRuns` needs. */
 export interface MissingRunsOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
-    /** The job changed and has to be made durable. */
+    /** Called when a job has changed and has to be made durable. */
     readonly onChange: (job: ShardJob) => void;
-    /** A former owner's run is not there; its order may still be under way. */
+    /** Called when a former owner's run is gone; its start may still be in flight. */
     readonly onFormerGone: (worker: ShardWorker, run: ShardRun) => void;
-    /** The run was let go of, and nobody knows whether a worker crashed by it. */
+    /** Called when a run is dropped that may have crashed its worker without anyone seeing it. */
     readonly onPossibleCrash: (worker: ShardWorker, run: ShardRun) => void;
-    /** The start of the run was lost; it surely does not and will not run there. */
+    /** Called when the start of a run was lost: the worker has not carried it out. An absent run may still be carried out later. */
     readonly onStartLost: (run: ShardRun) => void;
-    /** The worker answers, and left the start of a run that may still be carried out there without an answer. */
+    /** Called when a worker answers looks but left a start unanswered, and the start may still be carried out there. */
     readonly onAbsent: (worker: ShardWorker, run: ShardRun) => void;
 }
 
-/** Reviews what looks do not list. */
+/** Reviews runs that looks do not list. */
 export interface MissingRuns {
-    /** Lets go of the runs that a look, sent at this local time, proves gone; gives those of them that may have crashed an earlier incarnation. */
+    /**
+     * Drops the runs that a look, sent at this local time, proves to be gone. Returns those that may have crashed an earlier
+     * incarnation.
+     */
     review(worker: ShardWorker, listed: ReadonlySet<string>, sentAtMs: number): readonly CrashedRun[];
 }
 
@@ -35,7 +41,7 @@
     sentAtMs !== undefined && !shown && startedAtMs === undefined;
 
 /**
- * Makes the review of one owner.
+ * Creates the review of one owner.
  *
  * @example
  * const missing = createMissingRuns({ clock, log, meter, onChange, onFormerGone, onPossibleCrash, onStartLost, onAbsent });
@@ -44,7 +50,7 @@
 export const createMissingRuns = (options: MissingRunsOptions): MissingRuns => {
     const { clock, log, meter, onChange } = options;
 
-    const holdAbsent = (worker: ShardWorker, run: ShardRun, nowMs: number): void => {
+    const markAbsent = (worker: ShardWorker, run: ShardRun, nowMs: number): void => {
         setAbsent(worker, run, true);
         meter.count("startsAbsent");
         log.write("warn", "startMayArrive", {
@@ -60,7 +66,7 @@
         onChange(jobOf(run));
     };
 
-    const dropGone = (worker: ShardWorker, run: ShardRun): void => {
+    const dropGoneRun = (worker: ShardWorker, run: ShardRun): void => {
         meter.count("runsGone");
         log.write("info", "runGone", {
             task: run.task.name,
@@ -87,13 +93,13 @@
     };
 
     const reviewRun = (worker: ShardWorker, run: ShardRun, nowMs: number): void => {
-        // A worker with a new ID for each incarnation refuses what names another one.
+        // Workers that get a new id for each incarnation reject orders that name another one, so their missing runs are gone.
         if (worker.bornAtMs === undefined || !mayArrive(run, nowMs)) {
-            dropGone(worker, run);
+            dropGoneRun(worker, run);
             return;
         }
         if (!run.absent) {
-            holdAbsent(worker, run, nowMs);
+            markAbsent(worker, run, nowMs);
         }
     };
 
--- a/packages/puffinarch/src/core/shard/nextIncarnation.ts
+++ b/packages/puffinarch/src/core/shard/nextIncarnation.ts
@@ -1,6 +1,6 @@
 /**
- * What follows when a worker answers as another incarnation under its id: which runs of the incarnation before are surely over with it, which of
- * them the next incarnation may have, and what may have crashed it.
+ * Moves a worker's state to its next incarnation when the worker answers under its id as another incarnation: which runs of
+ * the former one are over, which the next one may have, and which may have crashed the former one.
  */
 
 import type { WorkerEntry } from "../../types/work.js";
@@ -10,40 +10,47 @@
 import { runPhases, type ShardRun } from "./jobBook.js";
 import { adoptRun, newWorker, releaseRun, runKey, type ShardWorker } from "./workerTable.js";
 
-/** What is left of an incarnation that is over. */
+/** What an ended incarnation leaves behind. */
 export interface FormerIncarnation {
     /** Runs that the next incarnation may have; all others are over. */
     readonly carried: readonly ShardRun[];
-    /** What may have crashed it, of the runs that are over. */
+    /** Runs that are over and may have crashed it. */
     readonly suspects: readonly CrashedRun[];
-    /** The same of the runs that the next incarnation may have. */
+    /**
+     * Runs that the next incarnation may have and that may have crashed the former one; counted only once it turns out not to
+     * have them.
+     */
     readonly undecided: readonly CrashedRun[];
 }
 
-const isUnderWay = ({ task, run, workerId }: ShardRun, delayedStarts: DelayedStarts): boolean =>
+const mayBeInFlight = ({ task, run, workerId }: ShardRun, delayedStarts: DelayedStarts): boolean =>
     delayedStarts.has(workerId, { taskName: task.name, run });
 
-/** It was answered by one of the two incarnations and neither has listed it, or an order for it may still be under way. */
-const mayBeNext = (run: ShardRun, delayedStarts: DelayedStarts): boolean =>
+/**
+ * Whether the next incarnation may have a run, or get it yet: no look has listed the run, its start has no answer, or an
+ * order for it may be in flight.
+ */
+const mayRunOnNext = (run: ShardRun, delayedStarts: DelayedStarts): boolean =>
     run.phase !== runPhases.planned
-    && (!run.shown || run.phase === runPhases.starting || isUnderWay(run, delayedStarts));
+    && (!run.shown || run.phase === runPhases.starting || mayBeInFlight(run, delayedStarts));
 
-/** Its task waits until its order cannot come any more, whichever incarnation has the worker's ID by then. */
-const isAwaited = ({ phase, mayArriveUntilMs }: ShardRun): boolean =>
+/** Whether a run's task waits until its unanswered start can no longer be carried out, by whichever incarnation has the id then. */
+const awaitsLateStart = ({ phase, mayArriveUntilMs }: ShardRun): boolean =>
     phase === runPhases.starting && mayArriveUntilMs !== undefined;
 
 /**
- * Tells whether the next look at the next incarnation settles a run that it may have; any other run has to be stopped there, so
- * that an order for it is refused when it comes.
+ * Tells whether the next look at the next incarnation settles a run that it may have. Any other run has to be stopped there,
+ * so that the worker rejects an order for it that arrives late.
  *
  * @example
  * if (!isSettledByLook(run, delayedStarts)) { link.stop(run); }
  */
 export const isSettledByLook = (run: ShardRun, delayedStarts: DelayedStarts): boolean =>
-    isAwaited(run) || run.phase === runPhases.running && !isUnderWay(run, delayedStarts);
+    awaitsLateStart(run) || run.phase === runPhases.running && !mayBeInFlight(run, delayedStarts);
 
 /**
- * Adds what is undecided of the incarnation before to what may have crashed a worker; such runs do not count for both incarnations.
+ * Adds a worker's undecided suspects, from its former incarnation, to the runs that may have crashed it. A run that is among
+ * both counts once.
  *
  * @example
  * countCrashes(worker, withUndecided(worker, crashedRuns(worker, clock.monotonicMs())));
@@ -57,7 +64,7 @@
 ];
 
 /**
- * Takes from an incarnation that is over the runs that the next one may have.
+ * Takes the runs that the next incarnation may have from an ended incarnation, and sorts its suspects.
  *
  * @example
  * const { carried } = leaveIncarnation(worker, createDelayedStarts(clock), clock.monotonicMs());
@@ -68,7 +75,7 @@
     nowMs: number,
 ): FormerIncarnation => {
     const all = withUndecided(former, crashedRuns(former, nowMs));
-    const carried = new Map([...former.runs].filter(([, run]) => mayBeNext(run, delayedStarts)));
+    const carried = new Map([...former.runs].filter(([, run]) => mayRunOnNext(run, delayedStarts)));
     for (const run of carried.values()) {
         releaseRun(former, run);
     }
@@ -80,19 +87,19 @@
     };
 };
 
-/** The next incarnation as its first answer tells of it. */
+/** The next incarnation, as known from its first answer. */
 export interface NextIncarnation {
     readonly bornAtMs: number | undefined;
     /** The platform's entry for the worker; undefined where it is not listed. */
     readonly listed: WorkerEntry | undefined;
-    /** Local time by which every lease is over that orders for the incarnation before may have brought it. */
+    /** Local time by which every lease is over that late orders for the former incarnation may have given it. */
     readonly horizonMs: number;
     /** Local time. */
     readonly nowMs: number;
 }
 
 /**
- * Makes the next incarnation of a worker, with the runs that it may have.
+ * Creates the state of a worker's next incarnation, with the runs that it may have.
  *
  * @example
  * const next = enterIncarnation(former, leaveIncarnation(former, delayedStarts, nowMs), { bornAtMs, listed, horizonMs, nowMs });
@@ -105,16 +112,16 @@
     const isListed = listed !== undefined && !isOtherIncarnation(listed.bornAtMs, bornAtMs);
     const next = newWorker(isListed ? listed : former.entry, horizonMs);
     next.bornAtMs = bornAtMs;
-    // It may be of another kind and size; nothing is started there before its own entry says so.
+    // It may have another service or capacity, so nothing is started there until its own entry is listed.
     next.unlistedAtMs = isListed ? undefined : -Infinity;
     for (const run of carried) {
         if (run.absent) {
-            // The incarnation before refused it, so that it did not crash under it; one between the two may have.
+            // The former incarnation rejected the run and so did not crash under it, but an unseen incarnation in between may have.
             run.bornAtMs = bornAtMs;
             run.absent = false;
             run.mayHaveCrashed = true;
         }
-        if (isAwaited(run)) {
+        if (awaitsLateStart(run)) {
             run.settledAtMs = nowMs;
         }
         adoptRun(next, run);
--- a/packages/puffinarch/src/core/shard/unansweredStart.ts
+++ b/packages/puffinarch/src/core/shard/unansweredStart.ts
@@ -1,14 +1,15 @@
 /**
- * Starts without an answer that hold for whichever incarnation has the worker's ID. A look proves that one incarnation refuses such an
- * order; the next one knows nothing of it and would run a task that was started elsewhere meanwhile, and may have ended there. The task
- * therefore waits until the order cannot come any more, and its room on that worker is kept.
+ * Unanswered starts that any incarnation under the worker's id may carry out. A look proves only that one incarnation rejects
+ * such an order; the next one would accept it, and run a task that was started elsewhere meanwhile and may have ended there.
+ * The task therefore waits, and capacity for it is kept on the worker, until the order can no longer arrive.
  */
 
 import { jobOf, type ShardRun } from "./jobBook.js";
 import type { ShardSettings } from "./shardSettings.js";
 
 /**
- * Tells whether the order of a run is refused by every incarnation of its worker but the one that it was sent to, since its ticket is.
+ * Tells whether only the incarnation to which a run's start was sent accepts it, since the start's ticket names that
+ * incarnation.
  *
  * @example
  * holdsForOneIncarnation(run, settings); // false where its queue asks for no advice
@@ -19,7 +20,7 @@
 ): boolean => ticketsNameIncarnation && jobOf(run).queue.advice !== undefined;
 
 /**
- * Tells whether the order of a run may still be carried out, whatever the worker's present incarnation says of it.
+ * Tells whether a run's start may still be carried out, whatever the worker's present incarnation reports of the run.
  *
  * @example
  * if (mayArrive(run, clock.monotonicMs())) { return; }
