--- a/packages/puffinarch/src/core/shard/firstLooks.ts
+++ b/packages/puffinarch/src/core/shard/firstLooks.ts
@@ -1,30 +1,36 @@
 /**
- * Turns for the first looks of a new owner: only so many are under way at once. Each answer costs the processor a new
- * connection and all that runs there; 350 at once kept a daemon from its peers' pings for a second or more, so that it was
- * taken for lost and replaced by one that began the same work anew.
+ * Limits how many first looks of a new owner are under way at once. Each answer costs processor time for a new connection and
+ * for the list of all that runs there: 350 looks at once kept a daemon from answering its peers' pings for a second or more,
+ * so that it was replaced as lost by a daemon that began the same work anew.
  */
 
 import type { Clock } from "../../types/ports.js";
 
-/** Gives turns. */
+/** Admits first looks. */
 export interface FirstLooks {
     /**
-     * Resolves when the look may be sent, with what is to be called once it is answered or given up; never where it is not wanted any
-     * more when its turn comes.
+     * Resolves when the look may be sent, with a function to call once it is answered or given up; never resolves if the look
+     * is no longer wanted when its turn comes.
      */
     enter(isWanted: () => boolean): Promise<() => void>;
 }
 
-/** At 6 ms an answer on a VM of a third of a core, a ping waits 150 ms behind them; its limit is 350 ms. */
-const atOnce = 24;
-/** A look that has not been answered though this many later ones have is left to itself; its worker may be out of reach. */
-const overtakenBy = 8;
-/** So is one that takes this long while none is answered: 117 workers of a data centre that is cut off take 0.8 s. */
-const turnMs = 150;
-/** Answers that come at shorter intervals than this show that the others only wait for this daemon's processor. */
-const quietMs = 50;
+/**
+ * Looks that may be under way at once. An answer takes 6 ms on a VM with a third of a core, so that a ping waits about 150 ms
+ * behind this many; its limit is 350 ms.
+ */
+const maxConcurrentLooks = 24;
+/** A look stops counting towards the limit once this many later ones have been answered before it; its worker may be unreachable. */
+const maxOvertakes = 8;
+/**
+ * A look also stops counting after this time, unless answers to others keep coming; the looks to 117 unreachable workers of a
+ * data centre take 0.8 s in all.
+ */
+const minTurnMs = 150;
+/** While answers come at shorter intervals than this, the other looks only wait for this daemon's processor. */
+const quietIntervalMs = 50;
 
-/** A look under way. */
+/** A look that counts towards the limit. */
 interface Turn {
     readonly number: number;
     overtaken: number;
@@ -32,7 +38,7 @@
 }
 
 /**
- * Makes the turns of one owner.
+ * Creates the limiter of one owner.
  *
  * @example
  * const firstLooks = createFirstLooks(clock);
@@ -42,11 +48,11 @@
 export const createFirstLooks = (clock: Clock): FirstLooks => {
     const turns = new Set<Turn>();
     const waiting: { readonly isWanted: () => boolean; readonly send: () => void; }[] = [];
-    let numbers = 0;
-    let answeredAtMs = -Infinity;
+    let lastNumber = 0;
+    let lastAnswerAtMs = -Infinity;
 
-    const letIn = (): void => {
-        while (turns.size < atOnce && waiting.length > 0) {
+    const admitWaiting = (): void => {
+        while (turns.size < maxConcurrentLooks && waiting.length > 0) {
             const next = waiting.shift();
             if (next?.isWanted() === true) {
                 next.send();
@@ -55,35 +61,35 @@
     };
 
     const noteAnswer = (number: number): void => {
-        answeredAtMs = clock.monotonicMs();
+        lastAnswerAtMs = clock.monotonicMs();
         for (const turn of [...turns]) {
             if (turn.number < number) {
                 turn.overtaken += 1;
-                if (turn.overtaken >= overtakenBy) {
+                if (turn.overtaken >= maxOvertakes) {
                     turn.leave();
                 }
             }
         }
     };
 
-    const begin = (): () => void => {
-        numbers += 1;
-        const number = numbers;
+    const beginTurn = (): () => void => {
+        lastNumber += 1;
+        const number = lastNumber;
         const leave = (): void => {
             cancel();
             if (turns.delete(turn)) {
-                letIn();
+                admitWaiting();
             }
         };
         const leaveIfQuiet = (): void => {
-            if (clock.monotonicMs() - answeredAtMs >= quietMs) {
+            if (clock.monotonicMs() - lastAnswerAtMs >= quietIntervalMs) {
                 leave();
                 return;
             }
-            cancel = clock.setTimer(quietMs, leaveIfQuiet);
+            cancel = clock.setTimer(quietIntervalMs, leaveIfQuiet);
         };
         const turn: Turn = { number, overtaken: 0, leave };
-        let cancel = clock.setTimer(turnMs, leaveIfQuiet);
+        let cancel = clock.setTimer(minTurnMs, leaveIfQuiet);
         turns.add(turn);
         return () => {
             leave();
@@ -94,8 +100,8 @@
     return {
         enter: isWanted =>
             new Promise(resolve => {
-                waiting.push({ isWanted, send: () => resolve(begin()) });
-                letIn();
+                waiting.push({ isWanted, send: () => resolve(beginTurn()) });
+                admitWaiting();
             }),
     };
 };
--- a/packages/puffinarch/src/core/shard/lookSlots.ts
+++ b/packages/puffinarch/src/core/shard/lookSlots.ts
@@ -1,35 +1,36 @@
 /**
- * Pauses between looks at silent workers to which orders may be under way. The next incarnation of such a worker carries them out
- * until a look has reached it, so that it is looked at often; a hundred workers that are down together would take a VM's processor.
+ * Spaces out looks at silent workers to which orders may be in flight. The next incarnation of such a worker carries these
+ * orders out until a look has reached it, so the worker is looked at often; without a shared limit, a hundred workers that
+ * are down together would use up the processor of this daemon's VM.
  */
 
 import type { Clock } from "../../types/ports.js";
 
-/** Gives pauses. */
+/** Schedules looks. */
 export interface LookSlots {
-    /** How long to wait before the next look at a worker, at most the time given. */
+    /** Returns how long to wait before the next look at a worker, at most `longestMs`. */
     pauseMs(longestMs: number): number;
 }
 
-const shortestPauseMs = 10;
-/** An owner sends as many looks a second to 200 workers that answer. */
-const slotMs = 5;
+const minPauseMs = 10;
+/** Least time between two such looks: as many a second as an owner sends to 200 workers that answer. */
+const slotIntervalMs = 5;
 
 /**
- * Makes the slots of one owner.
+ * Creates the schedule of one owner.
  *
  * @example
  * const slots = createLookSlots(clock);
  * await sleep(clock, slots.pauseMs(250));
  */
 export const createLookSlots = (clock: Clock): LookSlots => {
-    let newestAtMs = -Infinity;
+    let lastSlotAtMs = -Infinity;
     return {
         pauseMs: longestMs => {
             const nowMs = clock.monotonicMs();
-            const nextAtMs = Math.max(nowMs + shortestPauseMs, newestAtMs + slotMs);
-            newestAtMs = Math.min(nextAtMs, nowMs + longestMs);
-            return newestAtMs - nowMs;
+            const nextAtMs = Math.max(nowMs + minPauseMs, lastSlotAtMs + slotIntervalMs);
+            lastSlotAtMs = Math.min(nextAtMs, nowMs + longestMs);
+            return lastSlotAtMs - nowMs;
         },
     };
 };
--- a/packages/puffinarch/src/core/shard/taskReview.ts
+++ b/packages/puffinarch/src/core/shard/taskReview.ts
@@ -1,6 +1,6 @@
 /**
- * A review of all accepted tasks: each runs, has ended, or waits for a named event for a bounded time. Most of what brings
- * a task on is told by events; the review finds those that an event has missed, and tells from the log what others wait for.
+ * Reviews all accepted tasks: each runs, has ended, or waits for a named event for a bounded time. Events drive the placement
+ * of tasks; the review finds steps for which an event was missed, and logs what tasks wait for beyond their bound.
  */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
@@ -27,7 +27,7 @@
 } from "./taskWait.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** What a review needs. */
+/** What `createTaskReview` needs. */
 export interface TaskReviewOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -39,34 +39,34 @@
 
 /** Reviews the tasks of a shard. */
 export interface TaskReview {
-    /** Looks at every accepted task; gives the number of steps that the placing had lost. */
+    /** Reviews every accepted task and hands steps that the placing has lost to it again; returns their number. */
     run(): number;
-    /** The same, with a line on how all tasks stand: for a new owner that has just learnt what its workers run. */
+    /** The same, and logs how many tasks wait; for a new owner that has just learnt what its workers run. */
     runFirst(): void;
 }
 
-/** A task that waits, and the local time at which a review first found it so. */
+/** A task that waits, and the local time of the first review that found it waiting. */
 interface Waiting {
     readonly task: ShardTask;
     readonly sinceMs: number;
 }
 
-/** Only the steps whose tasks have waited longest are looked into: each costs a look at every worker. */
-const mostExplained = 12;
-/** Lines on lost steps in one review. */
-const mostForgotten = 10;
-/** Tasks that are named with their reason in a line. */
-const mostNamed = 3;
-/** No reason has a shorter bound, so that what has waited for less is not looked into. */
+/** Most steps of which the wait is explained in one review, longest first: each explanation checks every worker. */
+const maxExplainedSteps = 12;
+/** Most log lines on lost steps in one review. */
+const maxForgottenLines = 10;
+/** Most tasks that one log line names with their reason. */
+const maxNamedTasks = 3;
+/** The shortest bound of all reasons; tasks that have waited for less need no explanation. */
 const shortestBoundMs = Math.min(...Object.values(waitBoundsMs));
 
-interface Explained extends Waiting {
+interface ExplainedWait extends Waiting {
     readonly waitedMs: number;
     readonly wait: TaskWait;
     readonly counts: StandCounts;
 }
 
-const showCounts = (counts: StandCounts): string =>
+const formatCounts = (counts: StandCounts): string =>
     workerStands.filter(stand => counts[stand] > 0).map(stand => `${stand} ${counts[stand]}`).join(" ");
 
 const countBy = (waits: readonly TaskWait[]): string => {
@@ -78,7 +78,7 @@
 };
 
 /**
- * Makes the review of a shard's tasks.
+ * Creates the review of a shard's tasks.
  *
  * @example
  * const review = createTaskReview({ clock, log, meter, jobs, workers, placing });
@@ -86,14 +86,17 @@
  */
 export const createTaskReview = (options: TaskReviewOptions): TaskReview => {
     const { clock, log, meter, jobs, workers, placing } = options;
-    let known = new Map<ShardTask, Waiting>();
+    let waitingTasks = new Map<ShardTask, Waiting>();
 
-    /** Puts a ready step whose waiting tasks the placing does not hold back into it. */
+    /**
+     * Hands a ready step to the placing again if tasks of it wait and the placing does not hold it; returns 1 for such a
+     * step, 0 otherwise.
+     */
     const recover = (step: ShardStep, found: number): number => {
         if (placing.holds(step) || !step.tasks.some(isWaiting)) {
             return 0;
         }
-        if (found < mostForgotten) {
+        if (found < maxForgottenLines) {
             log.write("warn", "stepForgotten", {
                 step: stepNameOf(step),
                 waiting: step.tasks.filter(isWaiting).length,
@@ -104,7 +107,7 @@
         return 1;
     };
 
-    const explain = (waiting: Waiting, nowMs: number): Explained => {
+    const explain = (waiting: Waiting, nowMs: number): ExplainedWait => {
         const counts = countStands(waiting.task.step, { workers, nowMs });
         return {
             ...waiting,
@@ -114,10 +117,10 @@
         };
     };
 
-    /** The task that has waited longest, of each step. */
+    /** The task of each step that has waited longest, beyond the shortest bound; longest wait first. */
     const longestOfSteps = (nowMs: number): readonly Waiting[] => {
         const byStep = new Map<ShardStep, Waiting>();
-        for (const waiting of known.values()) {
+        for (const waiting of waitingTasks.values()) {
             const { step } = waiting.task;
             const longer = waiting.sinceMs < (byStep.get(step)?.sinceMs ?? Infinity);
             if (longer && nowMs - waiting.sinceMs > shortestBoundMs) {
@@ -127,22 +130,22 @@
         return [...byStep.values()].sort((left, right) => left.sinceMs - right.sinceMs);
     };
 
-    const showWait = ({ task, wait, waitedMs, counts }: Explained, nowMs: number): string => {
+    const formatWait = ({ task, wait, waitedMs, counts }: ExplainedWait, nowMs: number): string => {
         const avoided = describeAvoided(task, { workers, nowMs });
-        const parts = [`${task.name}: ${wait} for ${Math.round(waitedMs)} ms`, showCounts(counts), avoided];
+        const parts = [`${task.name}: ${wait} for ${Math.round(waitedMs)} ms`, formatCounts(counts), avoided];
         return parts.filter(part => part !== "").join("; ");
     };
 
-    const tellLongest = (nowMs: number): void => {
-        const longest = longestOfSteps(nowMs).slice(0, mostExplained).map(waiting => explain(waiting, nowMs));
+    const logLateSteps = (nowMs: number): void => {
+        const longest = longestOfSteps(nowMs).slice(0, maxExplainedSteps).map(waiting => explain(waiting, nowMs));
         const late = longest.filter(({ wait, waitedMs }) => waitedMs > waitBoundsMs[wait]);
         if (late.length === 0) {
             return;
         }
         log.write("warn", "taskWaits", {
-            waiting: known.size,
+            waiting: waitingTasks.size,
             lateSteps: countBy(late.map(({ wait }) => wait)),
-            longest: late.slice(0, mostNamed).map(each => showWait(each, nowMs)).join(" | "),
+            longest: late.slice(0, maxNamedTasks).map(each => formatWait(each, nowMs)).join(" | "),
         });
     };
 
@@ -161,13 +164,13 @@
                 forgotten += recover(step, forgotten);
                 for (const task of step.tasks) {
                     if (isDue(task)) {
-                        next.set(task, known.get(task) ?? { task, sinceMs: nowMs });
+                        next.set(task, waitingTasks.get(task) ?? { task, sinceMs: nowMs });
                     }
                 }
             }
         }
-        known = next;
-        tellLongest(nowMs);
+        waitingTasks = next;
+        logLateSteps(nowMs);
         return forgotten;
     };
 
@@ -175,7 +178,7 @@
         run,
         runFirst: () => {
             const forgotten = run();
-            log.write("info", "tasksReviewed", { jobs: jobs.size, waiting: known.size, forgotten });
+            log.write("info", "tasksReviewed", { jobs: jobs.size, waiting: waitingTasks.size, forgotten });
         },
     };
 };
--- a/packages/puffinarch/src/core/shard/workerList.ts
+++ b/packages/puffinarch/src/core/shard/workerList.ts
@@ -1,26 +1,26 @@
-/** Follows the platform's list of workers, for as long as a daemon owns a shard. */
+/** Watches the platform's list of workers for as long as this daemon owns a shard. */
 
 import type { Row, RowStore } from "../../types/cellPorts.js";
 import type { Clock, Log } from "../../types/ports.js";
 import type { WorkerEntry } from "../../types/work.js";
 import { shortFeedWaitMs, type TableWatch, watchTable } from "./tableWatch.js";
 
-/** What following the list needs. */
+/** What `watchWorkerList` needs. */
 export interface WorkerListOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly store: RowStore;
     readonly table: string;
     readonly readWorker: (row: Row) => WorkerEntry | undefined;
-    /** All workers that are listed now, after each change, and the ids of those whose row cannot be read. */
+    /** Called after each change with all workers listed now, and the ids of those whose row cannot be read. */
     readonly onWorkers: (entries: readonly WorkerEntry[], unreadable: ReadonlySet<string>) => void;
 }
 
-/** Workers write every 1.5 s or so; a leaving one has to be noticed within 2 s. */
+/** Pause between reads. Workers write their entries about every 1.5 s, and one that leaves has to be noticed within 2 s. */
 const pauseMs = 300;
 
 /**
- * Starts to follow the list; nothing is told before it was read whole once.
+ * Starts to watch the list; `onWorkers` is first called once the whole list has been read.
  *
  * @example
  * const watch = watchWorkerList({ clock, log, store, table: "workers", readWorker, onWorkers });
