--- a/packages/puffinarch/src/core/shard/correlatedCrashes.ts
+++ b/packages/puffinarch/src/core/shard/correlatedCrashes.ts
@@ -39,7 +39,7 @@
  * @example
  * const correlatedCrashes = createCorrelatedCrashes();
  * correlatedCrashes.note({ workerId: "i-1", bornAtMs: undefined }, 1_000, []);
- * correlatedCrashes.othersAt(1_050, job); // 1
+ * correlatedCrashes.countOthersAt(1_050, job); // 1
  */
 export const createCorrelatedCrashes = (): CorrelatedCrashes => {
     const byIncarnation = new Map<string, SilentWorker>();
--- a/packages/puffinarch/src/core/shard/crashes.ts
+++ b/packages/puffinarch/src/core/shard/crashes.ts
@@ -162,7 +162,7 @@
  * more.
  *
  * @example
- * noteConfirmed(crashedRuns(worker, nowMs)).forEach(changed);
+ * recordConfirmedRuns(crashedRuns(worker, nowMs)).forEach(changed);
  */
 export const noteConfirmed = (runs: readonly CrashedRun[]): readonly ShardJob[] => {
     const noted = runs.filter(({ task, confirmed }) =>
@@ -189,7 +189,7 @@
  * many. Workers that stay away for longer than most crashed ones are not waited for.
  *
  * @example
- * if (awaitsVerdict(task, clock.monotonicMs())) { return; }
+ * if (awaitsCrashConfirmation(task, clock.monotonicMs())) { return; }
  */
 export const awaitsVerdict = ({ crashes, crashesExcused, unresolvedLosses }: ShardTask, nowMs: number): boolean => {
     const open = unresolvedLosses.filter(({ lostAtMs }) => nowMs - lostAtMs < maxConfirmationWaitMs).length;
@@ -200,7 +200,7 @@
  * Tells whether one more crash might fail the job even if tasks beside this one are the cause.
  *
  * @example
- * isNearEnd(task); // false for a task that was started once
+ * isNearCrashLimit(task); // false for a task that was started once
  */
 export const isNearEnd = ({ crashes, crashesExcused }: ShardTask): boolean =>
     crashes >= crashesToGiveUp || crashes + crashesExcused >= maxCrashes - 1;
@@ -210,7 +210,7 @@
  * something to clear.
  *
  * @example
- * if (showSound(run, clock.monotonicMs())) { onChange(job); }
+ * if (clearCrashesIfSound(run, clock.monotonicMs())) { onChange(job); }
  */
 export const showSound = (run: ShardRun, nowMs: number): boolean => {
     const { task } = run;
--- a/packages/puffinarch/src/core/shard/lostRuns.ts
+++ b/packages/puffinarch/src/core/shard/lostRuns.ts
@@ -39,8 +39,8 @@
  * @example
  * const lost = createLostRuns(job => changed.add(job));
  * const nowMs = clock.monotonicMs();
- * lost.lose({ workerId: "i-1", address: "10.0.0.1:1" }, crashedRuns(worker, nowMs), nowMs);
- * lost.replaced("10.0.0.1:1", "i-2");
+ * lost.add({ workerId: "i-1", address: "10.0.0.1:1" }, crashedRuns(worker, nowMs), nowMs);
+ * lost.settleReplaced("10.0.0.1:1", "i-2");
  */
 export const createLostRuns = (onSettled: (job: ShardJob) => void): LostRuns => {
     const byWorker = new Map<string, WorkerLosses>();
--- a/packages/puffinarch/src/core/shard/nextIncarnation.ts
+++ b/packages/puffinarch/src/core/shard/nextIncarnation.ts
@@ -102,7 +102,7 @@
  * Creates the state of a worker's next incarnation, with the runs that it may have.
  *
  * @example
- * const next = enterIncarnation(former, leaveIncarnation(former, delayedStarts, nowMs), { bornAtMs, listed, horizonMs, nowMs });
+ * const next = enterIncarnation(former, leaveIncarnation(former, delayedStarts, nowMs), { bornAtMs, listed, leaseHorizonMs, nowMs });
  */
 export const enterIncarnation = (
     former: ShardWorker,
--- a/packages/puffinarch/src/core/shard/shardWorkers.ts
+++ b/packages/puffinarch/src/core/shard/shardWorkers.ts
@@ -26,7 +26,7 @@
     runKey,
     type ShardWorker,
     slowestClockRate,
-    takeEntry,
+    updateEntry,
 } from "./workerTable.js";
 import { createWorkerWatch } from "./workerWatch.js";
 
@@ -99,7 +99,10 @@
  * Creates the manager of a shard's workers; it has none before the first list.
  *
  * @example
- * const workers = createShardWorkers({ clock, log, meter, settings, port, fencingToken, jobOf, changed, onNextIncarnation, onStarted, wake, onKnown, onFenced });
+ * const workers = createShardWorkers({
+ *     clock, log, meter, settings, port, fencingToken, jobOf, changed,
+ *     onNextIncarnation, onStarted, wake, onRunsKnown, onFenced,
+ * });
  * workers.update(entries);
  */
 export const createShardWorkers = (options: ShardWorkersOptions): ShardWorkers => {
@@ -304,7 +307,7 @@
             unansweredStartMs: settings.unansweredStartMs,
             ticketsNameIncarnation: settings.ticketsNameIncarnation,
             onLook: async (seen, look, sentAtMs) => {
-                const wasCertain = seen.certain;
+                const wereRunsKnown = seen.certain;
                 watch.countCrashes(seen.workerId, lostRuns.answered(seen));
                 correlatedCrashes.answered(seen);
                 const newest = watch.take(seen, look, sentAtMs);
@@ -314,7 +317,7 @@
                     seen.acknowledgedEnd = Math.max(seen.acknowledgedEnd, newest);
                 });
                 seen.endsWritten = written;
-                if (!wasCertain) {
+                if (!wereRunsKnown) {
                     reportAllKnown();
                     wake();
                 }
@@ -470,7 +473,7 @@
                 continue;
             }
             const drainsNow = entry.draining && !known.entry.draining;
-            takeEntry(known, entry.address === "" ? { ...entry, address: known.entry.address } : entry);
+            updateEntry(known, entry.address === "" ? { ...entry, address: known.entry.address } : entry);
             known.unlistedAtMs = undefined;
             if (!links.has(known.workerId)) {
                 links.set(known.workerId, openLink(known));
--- a/packages/puffinarch/src/core/shard/trials.ts
+++ b/packages/puffinarch/src/core/shard/trials.ts
@@ -42,7 +42,7 @@
  * would crash another worker.
  *
  * @example
- * if (fellAtStart(run, worker)) { return; }
+ * if (fellSilentAtStart(run, worker)) { return; }
  */
 export const fellAtStart = ({ sentAtMs }: ShardRun, { silentSinceMs }: ShardWorker): boolean =>
     silentSinceMs !== undefined && sentAtMs !== undefined && silentSinceMs - sentAtMs < atWorkMs;
@@ -78,7 +78,7 @@
  * Returns those of a step's waiting tasks that may be started now.
  *
  * @example
- * for (const task of startable(step, waiting, { workers, nowMs })) { place(task); }
+ * for (const task of startableTasks(step, waiting, { workers, nowMs })) { place(task); }
  */
 export const startable = (
     step: ShardStep,
@@ -113,7 +113,7 @@
  * on trial.
  *
  * @example
- * isKeptFrom(worker, step.occurrence.job, { workers, nowMs });
+ * isBlockedByTrial(worker, step.occurrence.job, { workers, nowMs });
  */
 export const isKeptFrom = (
     { trial, trialHold, runs }: ShardWorker,
@@ -203,7 +203,7 @@
  * jobs for a suspect step, and only those of tasks under which workers have crashed for any other step.
  *
  * @example
- * const value = -companyOf(worker, job, isSuspect(step));
+ * const value = -crashExposureOf(worker, job, isSuspect(step));
  */
 export const companyOf = ({ runs }: ShardWorker, job: ShardJob, suspect: boolean): number => {
     let harmed = 0;
--- a/packages/puffinarch/src/core/shard/workerTable.ts
+++ b/packages/puffinarch/src/core/shard/workerTable.ts
@@ -67,7 +67,7 @@
     /** Latest local time at which the start of a run that completed was sent. */
     soundSinceMs: number;
     /** Local time of the first of the consecutive failures; meaningless while there are none. */
-    streakBeganAtMs: number;
+    failureStreakBeganAtMs: number;
     /**
      * Local times at which the newest rest (a cooldown after failures) began and ends. During it only steps that may pass
      * rests get work here.
@@ -121,7 +121,7 @@
     failedJobs: new Set(),
     failuresInARow: 0,
     soundSinceMs: -Infinity,
-    streakBeganAtMs: -Infinity,
+    failureStreakBeganAtMs: -Infinity,
     restBeganAtMs: -Infinity,
     restsUntilMs: 0,
     avoidUntilMs: 0,
@@ -134,7 +134,7 @@
 });
 
 /**
- * Returns the deadline, on the worker's own clock, of a lease that lasts `leaseMs` from now, and extends `horizonMs` to cover
+ * Returns the deadline, on the worker's own clock, of a lease that lasts `leaseMs` from now, and extends `leaseHorizonMs` to cover
  * it. Undefined while the worker's clock is not known.
  *
  * @example
@@ -172,9 +172,9 @@
  * Updates a worker from its newest list entry.
  *
  * @example
- * takeEntry(worker, { ...worker.entry, draining: true });
+ * updateEntry(worker, { ...worker.entry, draining: true });
  */
-export const takeEntry = (worker: ShardWorker, entry: WorkerEntry): void => {
+export const updateEntry = (worker: ShardWorker, entry: WorkerEntry): void => {
     worker.entry = entry;
     worker.mostCapacity = largest(worker.mostCapacity, entry.capacity);
 };
--- a/packages/puffinarch/src/core/shard/workerWatch.ts
+++ b/packages/puffinarch/src/core/shard/workerWatch.ts
@@ -96,7 +96,7 @@
             worker.soundSinceMs = Math.max(worker.soundSinceMs, sentAtMs);
         }
         // A run that was sent before the failures began does not show that the worker has recovered.
-        if (how === "done" && (worker.failuresInARow === 0 || sentAtMs >= worker.streakBeganAtMs)) {
+        if (how === "done" && (worker.failuresInARow === 0 || sentAtMs >= worker.failureStreakBeganAtMs)) {
             worker.failuresInARow = 0;
             worker.failedJobs.clear();
         }
@@ -104,7 +104,7 @@
             return;
         }
         if (worker.failuresInARow === 0) {
-            worker.streakBeganAtMs = clock.monotonicMs();
+            worker.failureStreakBeganAtMs = clock.monotonicMs();
         }
         worker.failuresInARow += 1;
         worker.failedJobs.add(jobId);
