--- a/packages/puffinarch/src/core/shard/lostRuns.ts
+++ b/packages/puffinarch/src/core/shard/lostRuns.ts
@@ -40,7 +40,7 @@
  * const lost = createLostRuns(job => changed.add(job));
  * const nowMs = clock.monotonicMs();
  * lost.add({ workerId: "i-1", address: "10.0.0.1:1" }, crashedRuns(worker, nowMs), nowMs);
- * lost.settleReplaced("10.0.0.1:1", "i-2");
+ * lost.replaced("10.0.0.1:1", "i-2");
  */
 export const createLostRuns = (onSettled: (job: ShardJob) => void): LostRuns => {
     const byWorker = new Map<string, WorkerLosses>();
