--- a/packages/puffinarch/src/core/shard/callerKeys.ts
+++ b/packages/puffinarch/src/core/shard/callerKeys.ts
@@ -61,7 +61,7 @@
             if (key === "") {
                 return queue.isPublic === true ? "" : die("unauthenticated", "this queue requires an API key");
             }
-            return find(key) ?? die("unauthenticated", "the API key is unknown");
+            return find(key) ?? die("unauthenticated", "the API key is not known");
         },
     };
 };
