--- a/packages/puffinarchd/src/adapters/http.ts
+++ b/packages/puffinarchd/src/adapters/http.ts
@@ -1,37 +1,37 @@
 /**
- * JSON over HTTP to the platform, workers and upstreams, with the outcome of a failed call told apart.
+ * JSON over HTTP to the platform, workers and upstreams. A failed call reports whether the request may have been delivered.
  *
- * Open connections may go silent for good, without a reset, while new ones work. A call that times out ends its own
- * connection only, and the idle ones beside it would each cost another call its whole time. So where nothing at all came
- * from an origin during a call that timed out, all its connections are replaced.
+ * Open connections may go silent for good, without a reset, while new connections work. A call that times out closes only
+ * its own connection, and each idle connection left in the pool would cost another call its whole time limit. So if nothing
+ * at all arrived from an origin during a call that timed out, all connections to that origin are replaced.
  */
 
 import { die, type Meter } from "puffinarch";
 import { Pool } from "undici";
 
-/** How a call ended that brought no answer. */
+/** Outcome of a call without an answer: the request was surely not delivered, or that is unknown. */
 export type CallFailure = "notDelivered" | "unknown";
 
-/** An answer, or what is known without one. */
+/** The answer to a call, or why there is none. `connectionLost`: the origin refused or closed the connection. */
 export type CallResult<T> =
     | { readonly kind: "answered"; readonly status: number; readonly body: T; }
     | { readonly kind: CallFailure; readonly reason: string; readonly connectionLost: boolean; };
 
-/** What one call may set. */
+/** Options of one call. */
 export interface HttpCallOptions {
-    /** Limit of the whole call; the caller's own limits hold besides. */
+    /** Limit of the whole call; the limits of the client apply as well. */
     readonly timeoutMs?: number;
     /**
-     * With it `timeoutMs` limits the time until the answer begins and between two pieces of it, and this one the whole call. A large
-     * answer over a thin link is then not thrown away half read, to be asked for anew.
+     * Limit of the whole call; if it is set, `timeoutMs` limits only the time until the answer begins and between two chunks of it.
+     * This lets a large answer arrive over a slow link, instead of being dropped half read and requested again.
      */
     readonly longestMs?: number | undefined;
-    /** A call that may be answered late: after this long its connections are judged as if it had timed out. */
+    /** If nothing has arrived from the origin this long after the call began, its connections are replaced; the call goes on. */
     readonly suspectAfterMs?: number;
     readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** Connections to one kind of outside system. */
+/** HTTP client with a pool of connections for each origin. */
 export interface HttpCaller {
     call<T>(
         method: "GET" | "POST" | "PUT" | "DELETE",
@@ -42,27 +42,31 @@
     close(): Promise<void>;
 }
 
-/** Limits of an HTTP caller. */
+/** Limits and meter of an HTTP client. */
 export interface HttpCallerOptions {
+    /** Limit of the time until an answer begins and between two chunks of it. */
     readonly timeoutMs: number;
     readonly connectionsPerHost: number;
-    /** How long an idle connection is kept; the library's default where it is left out. */
+    /** How long an idle connection is kept; the default of undici if it is missing. */
     readonly keepAliveMs?: number;
+    /** Limit of the time to open a connection; `timeoutMs` if it is missing. */
     readonly connectTimeoutMs?: number;
-    /** Counts calls and the bytes of their bodies. */
+    /** Counts calls, the bytes of their bodies and replacements of connections. */
     readonly meter: Meter;
 }
 
-/** Open connections to one origin, and when they last brought an answer. */
+/** Open connections to one origin. Times are readings of `performance.now()`. */
 interface Connections {
     readonly pool: Pool;
     readonly openedAtMs: number;
-    answeredAtMs: number;
+    /** When data last arrived over one of them; 0 if none has. */
+    receivedAtMs: number;
 }
 
-/** The time was over before a connection came about. */
+/** Code of the error of a call that ran out of time before a connection was open. */
 const neverSentCode = "NEVER_SENT";
 
+/** Errors that occur before a request is sent. */
 const neverConnectedCodes: ReadonlySet<string> = new Set([
     neverSentCode,
     "ECONNREFUSED",
@@ -72,13 +76,13 @@
 ]);
 
 const timeoutCodes: ReadonlySet<unknown> = new Set(["UND_ERR_HEADERS_TIMEOUT", "UND_ERR_BODY_TIMEOUT"]);
-/** The origin's machine refused or closed the connection, as it does once a process has ended there. */
+/** Errors by which the origin's machine refuses or closes a connection, as it does once its process has ended. */
 const connectionLostCodes: ReadonlySet<unknown> = new Set(["ECONNREFUSED", "ECONNRESET", "EPIPE", "UND_ERR_SOCKET"]);
 
 const codeOf = (error: unknown): unknown => (error as { readonly code?: unknown; }).code;
 
 /**
- * Tells from an error whether the request surely was not delivered.
+ * Returns `notDelivered` if an error means that the request surely was not delivered, and `unknown` otherwise.
  *
  * @example
  * failureKindOf(Object.assign(new Error(), { code: "ECONNREFUSED" })); // "notDelivered"
@@ -88,76 +92,85 @@
     return typeof code === "string" && neverConnectedCodes.has(code) ? "notDelivered" : "unknown";
 };
 
-/** Timers are exact to a millisecond and may fire a little early. */
+/** Timers have a resolution of 1 ms and may fire early by less than that. */
 const shortestTimerMs = 1;
 
-/** A limit of one call. */
-interface Limit {
+/** Time limit of one call. */
+interface Deadline {
     readonly signal: AbortSignal | undefined;
     /** Rejects when the time is over. */
-    readonly over: Promise<never>;
-    /** A piece of the answer has come. */
-    heard(): void;
+    readonly expired: Promise<never>;
+    /** Restarts the time limit between two chunks of an answer. */
+    onChunk(): void;
+    /** Stops the timer. */
     end(): void;
 }
 
-const unlimited: Limit = { signal: undefined, over: new Promise<never>(() => {}), heard: () => {}, end: () => {} };
+const noDeadline: Deadline = {
+    signal: undefined,
+    expired: new Promise<never>(() => {}),
+    onChunk: () => {},
+    end: () => {},
+};
 
-/** The library heeds a signal only once a request has a connection, so the end of the time is told beside it. */
-const startLimit = (
+/**
+ * Starts the time limit of a call. undici acts on an abort signal only once the request has a connection, so a promise that
+ * rejects reports the end of the time as well.
+ */
+const startDeadline = (
     { timeoutMs, longestMs = timeoutMs }: Pick<HttpCallOptions, "timeoutMs" | "longestMs">,
     isConnected: () => boolean,
-): Limit => {
+): Deadline => {
     if (timeoutMs === undefined || longestMs === undefined) {
-        return unlimited;
+        return noDeadline;
     }
     const abort = new AbortController();
     const endsAtMs = performance.now() + longestMs;
-    let heardAtMs = performance.now();
+    let receivedAtMs = performance.now();
     let timer: NodeJS.Timeout | undefined;
-    const over = new Promise<never>((_resolve, reject) => {
+    const expired = new Promise<never>((_resolve, reject) => {
         const check = (): void => {
-            const leftMs = Math.min(heardAtMs + timeoutMs, endsAtMs) - performance.now();
+            const leftMs = Math.min(receivedAtMs + timeoutMs, endsAtMs) - performance.now();
             if (leftMs >= shortestTimerMs) {
                 timer = setTimeout(check, leftMs);
                 return;
             }
-            // Asked before the abort, which ends the request's connection. Without one it was not sent, and never will be.
+            // Checked before the abort, which closes the request's connection. A request without one was not sent, and never will be.
             const code = isConnected() ? undefined : neverSentCode;
             abort.abort();
             reject(Object.assign(new Error(`no answer within ${timeoutMs} ms`), { code }));
         };
         timer = setTimeout(check, timeoutMs);
     });
-    const heard = (): void => {
-        heardAtMs = performance.now();
+    const onChunk = (): void => {
+        receivedAtMs = performance.now();
     };
-    return { signal: abort.signal, over, heard, end: () => clearTimeout(timer) };
+    return { signal: abort.signal, expired, onChunk, end: () => clearTimeout(timer) };
 };
 
-/** Reads a body as text and tells of each piece of it. */
-const readPieces = async (body: AsyncIterable<Buffer>, onPiece: () => void): Promise<string> => {
-    const pieces: Buffer[] = [];
-    for await (const piece of body) {
-        onPiece();
-        pieces.push(piece);
+/** Reads a body as text and calls `onChunk` for each chunk of it. */
+const readChunks = async (body: AsyncIterable<Buffer>, onChunk: () => void): Promise<string> => {
+    const chunks: Buffer[] = [];
+    for await (const chunk of body) {
+        onChunk();
+        chunks.push(chunk);
     }
-    return Buffer.concat(pieces).toString("utf8");
+    return Buffer.concat(chunks).toString("utf8");
 };
 
 const schemeLength = "http://".length;
 
-/** The callers write whole URLs of their own; to parse each anew takes more time than the rest of a call's beginning. */
+/** Splits a URL without parsing it, since `new URL` would take most of the time of starting a call and all URLs come from this code. */
 const splitUrl = (url: string): { readonly origin: string; readonly path: string; } => {
     const pathAt = url.indexOf("/", schemeLength);
     return pathAt < 0 ? { origin: url, path: "/" } : { origin: url.slice(0, pathAt), path: url.slice(pathAt) };
 };
 
 /**
- * Makes a caller with its own connection pool.
+ * Creates an HTTP client with connection pools of its own.
  *
  * @example
- * const http = createHttpCaller({ timeoutMs: 2_000, connectionsPerHost: 4, meter });
+ * const http = createHttpClient({ timeoutMs: 2_000, connectionsPerHost: 4, meter });
  * await http.call("GET", `${address}/vms`);
  */
 export const createHttpCaller = (limits: HttpCallerOptions): HttpCaller => {
@@ -176,14 +189,17 @@
             connect: { timeout: connectTimeoutMs ?? timeoutMs },
             ...(keepAliveMs === undefined ? {} : { keepAliveTimeout: keepAliveMs, keepAliveMaxTimeout: keepAliveMs }),
         });
-        const opened = { pool, openedAtMs: performance.now(), answeredAtMs: 0 };
+        const opened = { pool, openedAtMs: performance.now(), receivedAtMs: 0 };
         byOrigin.set(origin, opened);
         return opened;
     };
 
-    /** Calls that are under way may still be answered; new ones go over new connections. */
-    const replaceIfSilent = (origin: string, connections: Connections, askedAtMs: number): void => {
-        const silent = Math.max(connections.openedAtMs, connections.answeredAtMs) < askedAtMs;
+    /**
+     * Replaces the connections to an origin if nothing has arrived over them since a call began. Calls in flight keep the old
+     * connections and may still be answered; new calls use new ones.
+     */
+    const replaceIfSilent = (origin: string, connections: Connections, startedAtMs: number): void => {
+        const silent = Math.max(connections.openedAtMs, connections.receivedAtMs) < startedAtMs;
         if (silent && byOrigin.get(origin) === connections) {
             byOrigin.delete(origin);
             meter.count("connectionsReplaced");
@@ -201,31 +217,31 @@
             const sent = body === undefined ? "" : JSON.stringify(body);
             const { origin, path } = splitUrl(url);
             const connections = connectionsTo(origin);
-            const askedAtMs = performance.now();
-            const suspicion = suspectAfterMs === undefined
+            const startedAtMs = performance.now();
+            const silenceTimer = suspectAfterMs === undefined
                 ? undefined
-                : setTimeout(() => replaceIfSilent(origin, connections, askedAtMs), suspectAfterMs);
-            const limit = startLimit(
+                : setTimeout(() => replaceIfSilent(origin, connections, startedAtMs), suspectAfterMs);
+            const deadline = startDeadline(
                 { timeoutMs: callTimeoutMs, longestMs },
                 () => connections.pool.stats.connected > 0,
             );
-            const notePiece = (): void => {
-                limit.heard();
-                connections.answeredAtMs = performance.now();
+            const onChunk = (): void => {
+                deadline.onChunk();
+                connections.receivedAtMs = performance.now();
             };
 
-            const ask = async (): Promise<CallResult<T>> => {
+            const send = async (): Promise<CallResult<T>> => {
                 const answer = await connections.pool.request({
                     path,
                     method,
                     headers: body === undefined ? headers ?? {} : { ...headers, "content-type": "application/json" },
                     body: body === undefined ? undefined : sent,
-                    signal: limit.signal,
+                    signal: deadline.signal,
                 });
                 const text = longestMs === undefined
                     ? await answer.body.text()
-                    : await readPieces(answer.body as AsyncIterable<Buffer>, notePiece);
-                connections.answeredAtMs = performance.now();
+                    : await readChunks(answer.body as AsyncIterable<Buffer>, onChunk);
+                connections.receivedAtMs = performance.now();
                 meter.count("outsideCalls");
                 meter.count("outsideBytes", text.length + sent.length);
                 return {
@@ -235,15 +251,15 @@
                 };
             };
 
-            const asked = ask();
+            const answered = send();
             try {
-                return await Promise.race([asked, limit.over]);
+                return await Promise.race([answered, deadline.expired]);
             }
             catch (error) {
-                if (limit.signal?.aborted === true || timeoutCodes.has(codeOf(error))) {
-                    replaceIfSilent(origin, connections, askedAtMs);
-                    // The limit has been told already; what the library says of it later adds nothing.
-                    asked.catch(() => {});
+                if (deadline.signal?.aborted === true || timeoutCodes.has(codeOf(error))) {
+                    replaceIfSilent(origin, connections, startedAtMs);
+                    // The timeout is reported already; the request's own error for it is ignored.
+                    answered.catch(() => {});
                 }
                 return {
                     kind: failureKindOf(error),
@@ -252,8 +268,8 @@
                 };
             }
             finally {
-                limit.end();
-                clearTimeout(suspicion);
+                deadline.end();
+                clearTimeout(silenceTimer);
             }
         },
         close: async () => {
@@ -265,7 +281,7 @@
 const okStatus = 200;
 
 /**
- * Takes the body of a good answer; fails with `unavailable` for everything else.
+ * Returns the body of an answer with status 200; fails with `unavailable` for everything else. `what` names the called service.
  *
  * @example
  * const listing = bodyOf(await http.call<VmListing>("GET", url), "list of VMs");
--- a/packages/puffinarchd/src/adapters/machines.ts
+++ b/packages/puffinarchd/src/adapters/machines.ts
@@ -1,4 +1,4 @@
-/** Workers and upstreams over HTTP. */
+/** HTTP adapters for workers and upstreams. */
 
 import type { StartOutcome, UpstreamPort, UpstreamStatus, WorkerPort, WorkerReport } from "puffinarch";
 import { bodyOf, type HttpCaller } from "./http.js";
@@ -6,7 +6,7 @@
 const okStatus = 200;
 
 /**
- * Adapts the workers.
+ * Creates the adapter for workers.
  *
  * @example
  * const workers = createHttpWorkers(http);
@@ -29,7 +29,7 @@
 });
 
 /**
- * Adapts the upstreams' status pages.
+ * Creates the adapter for the upstreams' status pages.
  *
  * @example
  * const upstreams = createHttpUpstreams(http);
--- a/packages/puffinarchd/src/adapters/members.ts
+++ b/packages/puffinarchd/src/adapters/members.ts
@@ -1,7 +1,7 @@
 /**
- * Calls between the daemons of a cell: the procedures are tRPC's, called directly on both sides of a plain JSON request.
- * tRPC's own HTTP adapter and link cost 0.97 ms of processor time a call against 0.15 ms, and every daemon pings its
- * shard's owner five times a second.
+ * Calls between the daemons of a cell: tRPC procedures that plain JSON requests invoke directly. tRPC's own HTTP adapter and
+ * link would take 0.97 ms of processor time for each call instead of 0.15 ms, and every daemon pings the owner of its shard
+ * five times a second.
  */
 
 import { initTRPC } from "@trpc/server";
@@ -18,7 +18,7 @@
 } from "puffinarch";
 import { createHttpCaller } from "./http.js";
 
-/** Below this path a daemon answers the other daemons of its cell. */
+/** Path prefix of calls between the daemons of a cell. */
 const memberPath = "/member";
 
 interface MemberContext {
@@ -46,26 +46,26 @@
 
 const memberRouter = trpc.router(Object.fromEntries(callNames.map(name => [name, procedureOf(name)])));
 
-/** Calls to members, with their connections. */
+/** A `MemberPort` over HTTP; `close` closes its connections. */
 export interface HttpMembers extends MemberPort {
     close(): Promise<void>;
 }
 
-/** An idle connection is kept this long; a handshake costs more than the socket. */
+/** How long an idle connection is kept; a new handshake costs more than an open socket. */
 const keepAliveMs = 60_000;
-/** A peer on the same network that does not accept by then is gone or cut off. */
+/** A peer on the same network that accepts no connection within this time is gone or cut off. */
 const connectTimeoutMs = 400;
 const connectionsPerPeer = 8;
-/** Longest call of all; each call names its own limit. */
+/** Upper limit of every call; each call sets its own limit. */
 const callTimeoutMs = 30_000;
 const okStatus = 200;
 
-/** What a handler threw, where tRPC has wrapped it. */
+/** Returns the error that a handler threw, without the error that tRPC wraps around it. */
 const causeOf = (error: unknown): unknown =>
     error instanceof Error && error.name === "TRPCError" && error.cause !== undefined ? error.cause : error;
 
 /**
- * Answers the calls of the other daemons.
+ * Registers the routes that answer calls of the other daemons.
  *
  * @example
  * registerMembers(fastify, member.handlers);
@@ -89,7 +89,7 @@
 };
 
 /**
- * Makes the calls to the other daemons of a cell.
+ * Creates the client for calls to the other daemons of a cell.
  *
  * @example
  * const members = createHttpMembers(meter);
@@ -113,7 +113,7 @@
             if (result.kind !== "answered") {
                 return result.kind === "notDelivered"
                     ? die("unavailable", `${address} cannot be reached: ${result.reason}`)
-                    : die("mayHaveRun", `${address} gave no answer: ${result.reason}`);
+                    : die("mayHaveRun", `${address} did not answer: ${result.reason}`);
             }
             if (result.status === okStatus) {
                 return result.body as never;
--- a/packages/puffinarchd/src/adapters/peers.ts
+++ b/packages/puffinarchd/src/adapters/peers.ts
@@ -6,7 +6,7 @@
 import { Agent, fetch as undiciFetch, type RequestInit } from "undici";
 import { failureKindOf } from "./http.js";
 
-/** Below this path a daemon answers its peers. */
+/** Path prefix of calls between daemons. */
 export const peerPath = "/peer";
 
 interface PeerContext {
@@ -61,12 +61,13 @@
 /** Type of the router, for clients. */
 export type PeerRouter = typeof peerRouter;
 
-/** A peer port that can be closed. */
+/** A `PeerPort` over tRPC; `close` closes its connections. */
 export interface TrpcPeers extends PeerPort {
     close(): Promise<void>;
 }
 
-const causeOf = (error: unknown): unknown => {
+/** Returns the innermost cause of an error, which has the code of a failed connection. */
+const rootCauseOf = (error: unknown): unknown => {
     let cause = error;
     while (cause instanceof Error && cause.cause !== undefined) {
         cause = cause.cause;
@@ -74,6 +75,7 @@
     return cause;
 };
 
+/** Throws the peer's own failure, or one that states whether the call may have run there. */
 const rethrow = (address: string, error: unknown): never => {
     if (error instanceof TRPCClientError) {
         const failure = (error.data as { readonly failure?: Failure; } | undefined)?.failure;
@@ -81,13 +83,13 @@
             return die(failure.kind, failure.message, failure);
         }
     }
-    return failureKindOf(causeOf(error)) === "notDelivered"
-        ? die("unavailable", `the peer at ${address} is out of reach`)
+    return failureKindOf(rootCauseOf(error)) === "notDelivered"
+        ? die("unavailable", `the peer at ${address} cannot be reached`)
         : die("mayHaveRun", `the peer at ${address} did not answer`);
 };
 
 /**
- * Makes the calls to peers; one pool of connections for each peer.
+ * Creates the client for calls to peers, with up to four connections to each peer.
  *
  * @example
  * const peers = createTrpcPeers({ timeoutMs: 2_000, meter });
--- a/packages/puffinarchd/src/adapters/platform.ts
+++ b/packages/puffinarchd/src/adapters/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's table, object store and list of VMs over HTTP. */
+/** HTTP adapters for the platform's table, object store and list of VMs. */
 
 import type { ObjectStore, TableRow, TableStore, TransactResult, VmList, VmListing } from "puffinarch";
 import { bodyOf, type HttpCaller } from "./http.js";
@@ -6,7 +6,8 @@
 const okStatus = 200;
 
 /**
- * Adapts the table service. A reply that never came is `unknown`; a refusal or a failed connection is `refused`.
+ * Creates the adapter for the table. A transaction without a reply is `unknown`; one that was
+ * refused or not delivered is `refused`.
  *
  * @example
  * const table = createHttpTable(http, "http://127.0.0.1:7000");
@@ -26,7 +27,7 @@
 });
 
 /**
- * Adapts the object store.
+ * Creates the adapter for the object store.
  *
  * @example
  * const objects = createHttpObjects(http, "http://127.0.0.1:7000");
@@ -45,7 +46,7 @@
 };
 
 /**
- * Adapts the list of VMs.
+ * Creates the adapter for the list of VMs.
  *
  * @example
  * const vmList = createHttpVmList(http, "http://127.0.0.1:7000");
