--- a/packages/puffinarchd/src/rpc/clusterService.ts
+++ b/packages/puffinarchd/src/rpc/clusterService.ts
@@ -1,26 +1,27 @@
-/** Workers, upstreams, daemons, quotas, decisions and reports for operators. */
+/** Connect service for operators: workers, upstreams, daemons, quotas, decisions, the log level and reports. */
 
 import type { ServiceImpl } from "@connectrpc/connect";
 import type { ClusterService } from "@puffinarch/schema";
 import { check, die, type LogLevel, logLevels, type Node, oneOf, type Quota, type Task } from "puffinarch";
 import { z } from "zod";
 import type { DaemonLog } from "../logging.js";
-import { edit } from "./configurationServices.js";
-import { readQuota, showDecision } from "./convert.js";
+import { editConfiguration } from "./configurationServices.js";
+import { readQuota, toDecisionMessage } from "./convert.js";
 import { pageSizeOf } from "./jobService.js";
 
+/** Second half of the sentence `task ID ...` that explains a task's state. */
 const explanations: Readonly<Record<Task["state"], (task: Task) => string>> = {
-    queued: task => `waits for room; ${task.detail === "" ? "no attempt so far" : task.detail}`,
+    queued: task => `waits for a worker with room; ${task.detail === "" ? "no attempt yet" : task.detail}`,
     starting: task => `is being started on ${task.workerId}`,
     running: task => `runs on ${task.workerId}`,
     completed: task => `completed on ${task.workerId}`,
     failed: task => `failed on ${task.workerId}: ${task.detail}`,
-    cancelled: task => `was cancelled; ${task.mayHaveStarted ? "it had started" : "it never started"}`,
+    cancelled: task => `was cancelled; ${task.mayHaveStarted ? "it may have started" : "it never started"}`,
     mayHaveRun: task => `may have run on ${task.workerId}: ${task.detail}`,
 };
 
 /**
- * Makes the cluster service of a node.
+ * Creates the cluster service of a node.
  *
  * @example
  * router.service(ClusterService, createClusterService(node, log));
@@ -37,7 +38,7 @@
     const decisions = async (subject: string, limit: number) => {
         const { answers, unreachable } = await node.callAll("decisions", { subject, limit });
         const newest = answers.flat().sort((left, right) => right.atMs - left.atMs).slice(0, limit);
-        return { decisions: newest.map(showDecision), unreachableDaemons: [...unreachable] };
+        return { decisions: newest.map(toDecisionMessage), unreachableDaemons: [...unreachable] };
     };
 
     const usageOf = (quota: Quota) => ({ quota: { ...quota }, inUse: node.teamUse(quota.team) });
@@ -56,15 +57,15 @@
         },
         listDaemons: async () => {
             const { answers, unreachable } = await node.callAll("daemon", { detail: true });
-            const silent = unreachable.map(daemonId => {
+            const unreachableEntries = unreachable.map(daemonId => {
                 const session = node.membership.session(daemonId);
                 const { vmId = "", dataCentre = "", address = "" } = session ?? {};
                 return { daemonId, vmId, dataCentre, address, reachable: false };
             });
-            return { daemons: [...answers.map(each => ({ ...each })), ...silent] };
+            return { daemons: [...answers.map(each => ({ ...each })), ...unreachableEntries] };
         },
         drainDaemon: async ({ daemonId }) => {
-            await node.call(daemonId, "drain", { reason: "asked by an operator" });
+            await node.call(daemonId, "drain", { reason: "requested by an operator" });
             return {};
         },
         listQuotas: async () => ({ quotas: quotas().map(usageOf) }),
@@ -73,10 +74,10 @@
         }),
         setQuota: async ({ quota, context }) => {
             const entry = readQuota(quota);
-            const removes = quota?.cpuMillis === 0 && quota.memoryMib === 0;
-            const version = await edit(node, context, document => {
+            const isRemoval = quota?.cpuMillis === 0 && quota.memoryMib === 0;
+            const version = await editConfiguration(node, context, document => {
                 const others = document.quotas.filter(each => each.team !== quota?.team);
-                return { ...document, quotas: removes ? others : [...others, entry] };
+                return { ...document, quotas: isRemoval ? others : [...others, entry] };
             });
             return { version };
         },
--- a/packages/puffinarchd/src/rpc/configurationServices.ts
+++ b/packages/puffinarchd/src/rpc/configurationServices.ts
@@ -1,4 +1,4 @@
-/** Policies, workload classes and the whole configuration for operators. */
+/** Connect services for operators: policies, workload classes and the whole configuration. */
 
 import type { ServiceImpl } from "@connectrpc/connect";
 import type {
@@ -19,8 +19,15 @@
     wholeNumber,
 } from "puffinarch";
 import { z } from "zod";
-import { readDocument, readPolicy, readWorkloadClass, showConfiguration, showWorkloadClass } from "./convert.js";
+import {
+    readDocument,
+    readPolicy,
+    readWorkloadClass,
+    toConfigurationMessage,
+    toWorkloadClassMessage,
+} from "./convert.js";
 
+/** Number of versions listed if a request sets none. */
 const defaultHistory = 20;
 
 const contextSchema = z.object({
@@ -30,7 +37,7 @@
 });
 
 /**
- * Checks who changes what, and why.
+ * Checks the context of a change: the version that it is based on, its author and its reason.
  *
  * @example
  * readContext({ expectedVersion: 3, author: "ana", reason: "more room" }).author; // "ana"
@@ -39,12 +46,12 @@
     check(contextSchema, message ?? {}, "change context");
 
 /**
- * Changes one list of the document in force and applies the result.
+ * Applies a change to the document in force and returns the version that results.
  *
  * @example
- * await edit(node, request.context, document => ({ ...document, quotas: [] }));
+ * await editConfiguration(node, request.context, document => ({ ...document, quotas: [] }));
  */
-export const edit = async (
+export const editConfiguration = async (
     node: Node,
     context: ChangeContextMessage | undefined,
     change: (document: ConfigurationDocument) => unknown,
@@ -61,7 +68,7 @@
 const create = <T extends Named>(list: readonly T[], entry: unknown): readonly unknown[] => {
     const { name } = entry as Named;
     return list.some(each => each.name === name)
-        ? die("alreadyExists", `"${name}" exists`, {
+        ? die("alreadyExists", `"${name}" already exists`, {
             violations: [{ field: "name", value: `"${name}"`, allowed: "a new name" }],
         })
         : [...list, entry];
@@ -83,7 +90,7 @@
     list.find(each => each.name === name) ?? die("notFound", `there is no "${name}"`);
 
 /**
- * Makes the configuration service of a node.
+ * Creates the configuration service of a node.
  *
  * @example
  * router.service(ConfigurationService, createConfigurationService(node));
@@ -92,13 +99,15 @@
     getConfiguration: async ({ version }) => {
         const { configuration } = node;
         return {
-            configuration: showConfiguration(
+            configuration: toConfigurationMessage(
                 version === 0 ? configuration.inForce() : await configuration.version(version),
             ),
         };
     },
     applyConfiguration: async ({ document, context }) => ({
-        configuration: showConfiguration(await node.configuration.apply(readDocument(document), readContext(context))),
+        configuration: toConfigurationMessage(
+            await node.configuration.apply(readDocument(document), readContext(context)),
+        ),
     }),
     diffConfiguration: async ({ document }) => {
         const { version, document: before } = node.configuration.inForce();
@@ -106,7 +115,9 @@
     },
     listConfigurations: async ({ pageSize }) => {
         const { limit } = check(z.object({ limit: wholeNumber(0, 100) }), { limit: pageSize }, "request");
-        return { configurations: (await node.configuration.history(limit || defaultHistory)).map(showConfiguration) };
+        return {
+            configurations: (await node.configuration.history(limit || defaultHistory)).map(toConfigurationMessage),
+        };
     },
     deleteConfiguration: async ({ version }) => {
         await node.configuration.forget(version);
@@ -134,7 +145,7 @@
 });
 
 /**
- * Makes the policy service of a node.
+ * Creates the policy service of a node.
  *
  * @example
  * router.service(PolicyService, createPolicyService(node));
@@ -142,7 +153,7 @@
 export const createPolicyService = (node: Node): ServiceImpl<typeof PolicyService> => ({
     createPolicy: async ({ policy, context }) => {
         const entry = readPolicy(policy);
-        const version = await edit(
+        const version = await editConfiguration(
             node,
             context,
             document => ({ ...document, policies: create(document.policies, entry) }),
@@ -159,7 +170,7 @@
     },
     updatePolicy: async ({ policy, context }) => {
         const entry = readPolicy(policy);
-        const version = await edit(
+        const version = await editConfiguration(
             node,
             context,
             document => ({ ...document, policies: update(document.policies, entry) }),
@@ -167,49 +178,57 @@
         return { policy: find(node.configuration.inForce().document.policies, policy?.name ?? ""), version };
     },
     deletePolicy: async ({ name, context }) => ({
-        version: await edit(node, context, document => ({ ...document, policies: remove(document.policies, name) })),
+        version: await editConfiguration(
+            node,
+            context,
+            document => ({ ...document, policies: remove(document.policies, name) }),
+        ),
     }),
 });
 
 /**
- * Makes the workload class service of a node.
+ * Creates the workload class service of a node.
  *
  * @example
  * router.service(WorkloadClassService, createWorkloadClassService(node));
  */
 export const createWorkloadClassService = (node: Node): ServiceImpl<typeof WorkloadClassService> => {
     const classes = () => node.configuration.inForce().document.workloadClasses;
-    const changed = async (
+    const editClasses = async (
         context: ChangeContextMessage | undefined,
         name: string,
         change: (document: ConfigurationDocument) => readonly unknown[],
     ) => {
-        const version = await edit(node, context, document => ({ ...document, workloadClasses: change(document) }));
-        return { workloadClass: showWorkloadClass(find(classes(), name)), version };
+        const version = await editConfiguration(
+            node,
+            context,
+            document => ({ ...document, workloadClasses: change(document) }),
+        );
+        return { workloadClass: toWorkloadClassMessage(find(classes(), name)), version };
     };
     return {
         createWorkloadClass: ({ workloadClass, context }) =>
-            changed(
+            editClasses(
                 context,
                 workloadClass?.name ?? "",
                 document => create(document.workloadClasses, readWorkloadClass(workloadClass)),
             ),
         listWorkloadClasses: async () => ({
-            workloadClasses: classes().map(showWorkloadClass),
+            workloadClasses: classes().map(toWorkloadClassMessage),
             version: node.configuration.inForce().version,
         }),
         getWorkloadClass: async ({ name }) => ({
-            workloadClass: showWorkloadClass(find(classes(), name)),
+            workloadClass: toWorkloadClassMessage(find(classes(), name)),
             version: node.configuration.inForce().version,
         }),
         updateWorkloadClass: ({ workloadClass, context }) =>
-            changed(
+            editClasses(
                 context,
                 workloadClass?.name ?? "",
                 document => update(document.workloadClasses, readWorkloadClass(workloadClass)),
             ),
         deleteWorkloadClass: async ({ name, context }) => ({
-            version: await edit(
+            version: await editConfiguration(
                 node,
                 context,
                 document => ({ ...document, workloadClasses: remove(document.workloadClasses, name) }),
--- a/packages/puffinarchd/src/rpc/convert.ts
+++ b/packages/puffinarchd/src/rpc/convert.ts
@@ -1,4 +1,7 @@
-/** Between the library's types and the schema's messages. */
+/**
+ * Conversions between the library's types and the schema's messages: `read...` turns a message into input that the library still
+ * has to check, `to...Message` turns a value of the library into a message.
+ */
 
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import {
@@ -44,7 +47,7 @@
     Object.entries(kindMessages).find(([, value]) => value === message)?.[0] ?? "";
 
 /**
- * Reads an amount; a missing one is nothing.
+ * Reads an amount of resources; a missing one is zero.
  *
  * @example
  * readResources(undefined).cpuMillis; // 0
@@ -124,12 +127,12 @@
 });
 
 /**
- * Shows a workload class.
+ * Converts a workload class.
  *
  * @example
- * const message = showWorkloadClass(workloadClass);
+ * const message = toWorkloadClassMessage(workloadClass);
  */
-export const showWorkloadClass = ({ name, kind, policy, priority }: {
+export const toWorkloadClassMessage = ({ name, kind, policy, priority }: {
     readonly name: string;
     readonly kind: WorkloadKind;
     readonly policy: string;
@@ -137,30 +140,30 @@
 }) => ({ name, kind: kindMessages[kind], policy, priority });
 
 /**
- * Shows a configuration.
+ * Converts a configuration.
  *
  * @example
- * const message = showConfiguration(store.inForce());
+ * const message = toConfigurationMessage(store.inForce());
  */
-export const showConfiguration = (configuration: Configuration): MessageInitShape<typeof ConfigurationSchema> => ({
+export const toConfigurationMessage = (configuration: Configuration): MessageInitShape<typeof ConfigurationSchema> => ({
     version: configuration.version,
     author: configuration.author,
     reason: configuration.reason,
     acceptedAtMs: configuration.acceptedAtMs,
     document: {
         policies: configuration.document.policies.map(policy => ({ ...policy })),
-        workloadClasses: configuration.document.workloadClasses.map(showWorkloadClass),
+        workloadClasses: configuration.document.workloadClasses.map(toWorkloadClassMessage),
         quotas: configuration.document.quotas.map(quota => ({ ...quota })),
     },
 });
 
 /**
- * Shows a job.
+ * Converts a job.
  *
  * @example
- * const message = showJob(job);
+ * const message = toJobMessage(job);
  */
-export const showJob = (
+export const toJobMessage = (
     { spec, homeId, acceptedAtMs, ended, taskCounts }: Job,
 ): MessageInitShape<typeof JobSchema> => ({
     spec: { ...spec, taskSize: { ...spec.taskSize } },
@@ -171,12 +174,12 @@
 });
 
 /**
- * Shows a task.
+ * Converts a task.
  *
  * @example
- * const message = showTask(task);
+ * const message = toTaskMessage(task);
  */
-export const showTask = (task: Task): MessageInitShape<typeof TaskSchema> => ({
+export const toTaskMessage = (task: Task): MessageInitShape<typeof TaskSchema> => ({
     taskId: task.taskId,
     jobId: task.jobId,
     state: stateMessages[task.state],
@@ -190,12 +193,12 @@
 });
 
 /**
- * Shows a decision.
+ * Converts a decision.
  *
  * @example
- * const message = showDecision(decision);
+ * const message = toDecisionMessage(decision);
  */
-export const showDecision = (decision: Decision): MessageInitShape<typeof DecisionSchema> => ({
+export const toDecisionMessage = (decision: Decision): MessageInitShape<typeof DecisionSchema> => ({
     ...decision,
     chosen: decision.chosen ?? "",
 });
--- a/packages/puffinarchd/src/rpc/failures.ts
+++ b/packages/puffinarchd/src/rpc/failures.ts
@@ -1,9 +1,10 @@
-/** Errors of the library as errors of the Connect protocol, with the failure as a typed detail. */
+/** Converts errors of the library to errors of the Connect protocol, with the failure as a typed detail. */
 
 import { Code, ConnectError, type Interceptor } from "@connectrpc/connect";
 import { FailureSchema } from "@puffinarch/schema";
 import { errorAnswers, failureOf } from "puffinarch";
 
+/** Connect codes by their names in the protocol, such as `not_found`. */
 const codesByName: ReadonlyMap<string, Code> = new Map(
     Object.entries(Code)
         .filter((entry): entry is [string, Code] => typeof entry[1] === "number")
@@ -11,7 +12,7 @@
 );
 
 /**
- * Turns any error into one that callers can read.
+ * Converts any error to a Connect error whose code follows from the kind of the failure.
  *
  * @example
  * toConnectError(new Error("boom")).code; // Code.Internal
@@ -37,7 +38,7 @@
     return new ConnectError(failure.message, code, undefined, [{ desc: FailureSchema, value }]);
 };
 
-/** Gives every call's error its kind. */
+/** Converts the errors of all calls with `toConnectError`. */
 export const failureInterceptor: Interceptor = next => async request => {
     try {
         return await next(request);
