--- a/packages/puffinarchd/src/daemon.ts
+++ b/packages/puffinarchd/src/daemon.ts
@@ -1,4 +1,4 @@
-/** The daemon: Nest as a thin shell around a node and its network side. */
+/** The daemon: a Nest application that connects a node with its adapters and its servers. */
 
 import "reflect-metadata";
 import { fastifyConnectPlugin } from "@connectrpc/connect-fastify";
@@ -38,7 +38,7 @@
     nodeSettings,
 } from "./settings.js";
 
-/** What a daemon is started with. */
+/** Settings and dependencies of a daemon. */
 export interface DaemonOptions {
     readonly settings: DaemonSettings;
     readonly clock: Clock;
@@ -50,18 +50,21 @@
 export interface Daemon {
     readonly address: string;
     readonly node: Node;
-    /** Resolves once callers may be sent here. */
+    /** Resolves once the daemon is ready for callers. */
     readonly started: Promise<void>;
-    /** Graceful shutdown: tells the balancer, finishes what is in flight, hands over, closes. */
+    /** Shuts down gracefully: reports itself as not ready, finishes requests in flight, hands its work over and closes. */
     stop(): Promise<void>;
 }
 
+/** Injection token of `DaemonParts`. */
 const daemonParts = "daemonParts";
 const platformTimeoutMs = 2_000;
+/** Time for a worker's answer to a poll beyond the time that the poll may wait. */
 const pollSlackMs = 2_000;
 const peerTimeoutMs = 2_000;
 const connectionsPerUpstream = 8;
 
+/** Meter and clients of a daemon; `machines` calls workers and upstreams. */
 interface DaemonParts {
     readonly settings: DaemonSettings;
     readonly meter: DaemonMeter;
@@ -70,7 +73,7 @@
     readonly peers: TrpcPeers;
 }
 
-/** Closes the pools when Nest shuts down. */
+/** Provides `DaemonParts`, and closes the clients of the platform and of peers when Nest shuts down. */
 @Module({})
 class DaemonModule implements OnApplicationShutdown {
     static register(settings: DaemonSettings): DynamicModule {
@@ -128,7 +131,7 @@
 };
 
 /**
- * Starts a daemon; it listens at once and becomes ready when its session is open.
+ * Starts a daemon. It listens at once, and is ready once its session is open.
  *
  * @example
  * const daemon = await startDaemon({ settings, clock, random, log });
--- a/packages/puffinarchd/src/index.ts
+++ b/packages/puffinarchd/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon as a library, for tests and benchmarks. */
+/** Exports of the package, for tests and benchmarks. */
 
 export * from "./adapters/http.js";
 export * from "./adapters/machines.js";
--- a/packages/puffinarchd/src/logOutput.ts
+++ b/packages/puffinarchd/src/logOutput.ts
@@ -1,4 +1,4 @@
-/** Where log lines go: batched, never blocking, also when nobody reads standard output; what is left out is counted. */
+/** Output of log lines in batches. It never blocks, even if nobody reads it; lines that do not fit the buffer are dropped and counted. */
 
 import type { LogLevel } from "puffinarch";
 import sonicBoom from "sonic-boom";
@@ -6,23 +6,23 @@
 /** An output for log lines. */
 export interface LogOutput {
     write(line: string, level: LogLevel): void;
-    /** Writes out what is held, as far as the reader takes it within a moment. */
+    /** Writes the buffered lines; gives up after 200 ms if nobody reads them. */
     flush(): Promise<void>;
 }
 
-/** File descriptor of the standard output. */
+/** File descriptor of standard output. */
 export const standardOutput = 1;
 
-/** A page of the kernel's; a line of its own costs a system call, and thousands come in the second after a takeover. */
+/** A kernel page. Writing each line on its own would cost a system call for each of the thousands in the second after a takeover. */
 const batchBytes = 4_096;
-/** A process that is killed loses at most these last lines. */
+/** Longest time that a line waits for its batch; a process that is killed loses the lines of this time at most. */
 const batchMs = 50;
-/** Lines held while nobody reads: some 40 s of a loaded daemon's, and a fiftieth of a small VM's memory. */
-const heldBytes = 8 * 1024 * 1024;
-/** Warnings and errors may still use the rest. */
-const infoShare = 0.75;
+/** Limit of the lines buffered while nobody reads: 40 s of a daemon under load, and 1/50 of a small VM's memory. */
+const maxBufferedBytes = 8 * 1024 * 1024;
+/** Share of the buffer that info and debug lines may fill; the rest is reserved for warnings and errors. */
+const routineShare = 0.75;
 const flushLimitMs = 200;
-const informative: ReadonlySet<LogLevel> = new Set(["info", "debug"]);
+const routineLevels: ReadonlySet<LogLevel> = new Set(["info", "debug"]);
 
 /**
  * Opens the output.
@@ -37,34 +37,34 @@
         sync: false,
         minLength: batchBytes,
         periodicFlush: batchMs,
-        maxLength: heldBytes,
+        maxLength: maxBufferedBytes,
     });
-    let held = 0;
+    let bufferedBytes = 0;
     let dropped = 0;
     stream.on("drain", () => {
-        held = 0;
+        bufferedBytes = 0;
     });
     stream.on("write", (written: number) => {
-        held = Math.max(0, held - written);
+        bufferedBytes = Math.max(0, bufferedBytes - written);
     });
-    // There is nowhere left to say that the log itself cannot be written; the next line tells how many are missing.
+    // A failed write cannot be logged, so it counts as a dropped line; the next line that is written reports the number.
     stream.on("error", () => {
         dropped += 1;
     });
 
     return {
         write: (line, level) => {
-            const limit = informative.has(level) ? infoShare * heldBytes : heldBytes;
-            if (held + line.length > limit) {
+            const limit = routineLevels.has(level) ? routineShare * maxBufferedBytes : maxBufferedBytes;
+            if (bufferedBytes + line.length > limit) {
                 dropped += 1;
                 return;
             }
-            const missing = dropped === 0
+            const droppedNotice = dropped === 0
                 ? ""
                 : `${JSON.stringify({ level: "warn", event: "logDropped", lines: dropped })}\n`;
             dropped = 0;
-            held += missing.length + line.length;
-            stream.write(missing + line);
+            bufferedBytes += droppedNotice.length + line.length;
+            stream.write(droppedNotice + line);
         },
         flush: () =>
             new Promise(resolve => {
--- a/packages/puffinarchd/src/logging.ts
+++ b/packages/puffinarchd/src/logging.ts
@@ -1,4 +1,4 @@
-/** Structured log through consola: one JSON object a line on standard output, level changeable at run time. */
+/** Structured log through consola: one JSON object per line, with a level that can be changed at run time. */
 
 import { type ConsolaInstance, type ConsolaReporter, createConsola, LogLevels } from "consola";
 import type { Clock, Log, LogLevel } from "puffinarch";
@@ -17,7 +17,7 @@
 };
 
 /**
- * Makes the daemon's log.
+ * Creates the daemon's log; `write` receives each line with its level.
  *
  * @example
  * createLog({ clock, level: "info", vmId: "vm-1", write: openLogOutput(standardOutput).write });
--- a/packages/puffinarchd/src/main.ts
+++ b/packages/puffinarchd/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command that starts a daemon: `puffinarchd --config FILE`. */
+/** Command line entry point of the daemon: `puffinarchd --config FILE`. */
 
 import { Command } from "commander";
 import { createSystemClock, createSystemRandom, errorAnswers, failureOf } from "puffinarch";
--- a/packages/puffinarchd/src/metrics.ts
+++ b/packages/puffinarchd/src/metrics.ts
@@ -1,23 +1,24 @@
-/** Counters and histograms of a daemon, and their text form for scraping. */
+/** Counters and histograms of a daemon, and their text form for Prometheus. */
 
 import * as hdr from "hdr-histogram-js";
 import type { Meter } from "puffinarch";
 
 /** A meter that can be scraped. */
 export interface DaemonMeter extends Meter {
-    /** The text exposition format that scrapers read. */
+    /** Returns all metrics in the Prometheus text format. */
     text(): string;
 }
 
 const percents = [50, 90, 99, 99.9] as const;
 const prefix = "puffinarch_";
+/** Histograms hold whole numbers, so values are recorded in thousandths. */
 const scaleToUnits = 1_000;
 
 const metricName = (name: string): string =>
     prefix + name.replaceAll(/[^A-Za-z0-9]/g, "_").replaceAll(/([a-z0-9])([A-Z])/g, "$1_$2").toLowerCase();
 
 /**
- * Makes an empty meter. Histograms keep thousandths, three significant digits, up to an hour in milliseconds.
+ * Creates an empty meter. Histograms keep thousandths with two significant digits, and are sized for an hour in milliseconds.
  *
  * @example
  * const meter = createMeter();
@@ -60,7 +61,7 @@
             `${metricName(name)}_count ${histogram.totalCount}`,
         ]);
 
-    /** What the process itself uses, as the machine counts it. */
+    /** Processor time and memory of this process. */
     const processLines = (): readonly string[] => {
         const { user, system } = process.cpuUsage();
         const { rss, heapUsed } = process.memoryUsage();
--- a/packages/puffinarchd/src/proxy.ts
+++ b/packages/puffinarchd/src/proxy.ts
@@ -1,6 +1,7 @@
 /**
- * Callers' requests to services: `/services/NAME/...` goes to one upstream of that service, or to the peer that owns
- * one with a free slot. What did not run says `notRun`; what may have run says `mayHaveRun`; never the reverse.
+ * Proxy for callers' requests to services: sends `/services/NAME/...` to an upstream of that service, or to a peer that owns
+ * one with a free slot. A request that fails is answered with `notRun` only if it surely did not run, and with `mayHaveRun`
+ * otherwise.
  */
 
 import type { FastifyInstance, FastifyReply, FastifyRequest } from "fastify";
@@ -20,7 +21,7 @@
 import { Agent, type Dispatcher, request as undiciRequest } from "undici";
 import { failureKindOf } from "./adapters/http.js";
 
-/** Headers that carry a request's identity and its answer's meaning. */
+/** Headers that identify a request and classify its answer. */
 export const requestHeaders = {
     requestId: "x-request-id",
     idempotent: "x-idempotent",
@@ -34,21 +35,24 @@
     retryAfterMs: "x-retry-after-ms",
 } as const;
 
-/** What the proxy needs. */
+/** Dependencies and limits of the proxy. */
 export interface ProxyOptions {
     readonly node: Node;
     readonly clock: Clock;
     readonly meter: Meter;
+    /** Time limit of a request that sets none. */
     readonly requestTimeoutMs: number;
     readonly maxBodyBytes: number;
     readonly connectionsPerUpstream: number;
 }
 
-/** The proxy's connections. */
+/** A registered proxy. */
 export interface Proxy {
+    /** Number of requests in flight. */
     inFlight(): number;
     /** Resolves once no request is in flight, or at the deadline. */
     drain(timeoutMs: number): Promise<void>;
+    /** Closes the connections to upstreams and peers. */
     close(): Promise<void>;
 }
 
@@ -59,9 +63,12 @@
     readonly requestId: string;
     readonly caller: string;
     readonly idempotent: boolean;
+    /** True if this daemon generated the id, which is then unique, so that no claim is needed. */
     readonly claimed: boolean;
+    /** True if another daemon forwarded the request. */
     readonly forwarded: boolean;
-    readonly giveUpAtMs: number;
+    /** Reading of the monotonic clock. */
+    readonly deadlineAtMs: number;
     readonly body: Buffer | undefined;
     readonly contentType: string | undefined;
 }
@@ -72,19 +79,21 @@
     readonly body: Buffer;
 }
 
-/** Why a try brought no answer; only `notRun` may be tried again for every request. */
+/** Result of one try. After `notRun` any request may be tried again, after `mayHaveRun` only an idempotent one. */
 type TryResult = { readonly kind: "answered"; readonly answer: UpstreamAnswer; } | {
     readonly kind: "notRun" | "mayHaveRun";
     readonly reason: string;
 };
 
 const idempotentMethods: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS", "PUT", "DELETE"]);
-const surelyNotRun: ReadonlySet<ErrorKind> = new Set(["notRun", "overloaded", "invalid"]);
+/** Failures of requests that surely did not run; the claim on the request's id is released after them. */
+const notRunKinds: ReadonlySet<ErrorKind> = new Set(["notRun", "overloaded", "invalid"]);
 const drainPollMs = 25;
 const maxTries = 3;
 const defaultRetryAfterMs = 1_000;
 const maxTimeoutMs = 600_000;
-const passedHeaders = [
+/** Headers of an answer that are passed on to the caller. */
+const relayedHeaders = [
     "content-type",
     "x-upstream-leaving",
     requestHeaders.upstream,
@@ -131,7 +140,7 @@
 };
 
 /**
- * Adds the callers' route to a Fastify instance.
+ * Adds the route for callers' requests to a Fastify instance.
  *
  * @example
  * const proxy = registerProxy(fastify, options);
@@ -156,7 +165,7 @@
             idempotent: idempotentOf(request),
             claimed: givenId === undefined,
             forwarded: headerOf(request, requestHeaders.forwarded) !== undefined,
-            giveUpAtMs: clock.monotonicMs() + timeoutOf(request, options.requestTimeoutMs),
+            deadlineAtMs: clock.monotonicMs() + timeoutOf(request, options.requestTimeoutMs),
             body: Buffer.isBuffer(request.body) ? request.body : undefined,
             contentType: headerOf(request, "content-type"),
         };
@@ -176,7 +185,7 @@
         request: CallerRequest,
         extra: Readonly<Record<string, string>>,
     ): Promise<TryResult> => {
-        const remainingMs = request.giveUpAtMs - clock.monotonicMs();
+        const remainingMs = request.deadlineAtMs - clock.monotonicMs();
         if (remainingMs <= 0) {
             return { kind: "notRun", reason: "the deadline passed before the request was sent" };
         }
@@ -199,7 +208,7 @@
         }
     };
 
-    const noteRoute = (request: CallerRequest, route: Route, startedAtMs: number): void => {
+    const recordRoute = (request: CallerRequest, route: Route, startedAtMs: number): void => {
         const toSlot = route.kind === "slot";
         node.noteDecision({
             atMs: clock.nowMs(),
@@ -208,7 +217,7 @@
             subject: request.requestId,
             requester: request.caller,
             chosen: toSlot ? route.slot.upstreamId : route.sessionId,
-            reason: toSlot ? "a slot owned here is free" : "a peer owns free slots",
+            reason: toSlot ? "this daemon owns a free slot" : "a peer owns a free slot",
             policy: request.service,
             alternatives: toSlot ? route.slot.alternatives : route.alternatives,
             durationUs: (clock.monotonicMs() - startedAtMs) * 1_000,
@@ -253,14 +262,14 @@
             if (result.kind !== "answered") {
                 return result;
             }
-            const said = result.answer.headers[requestHeaders.answer];
-            if (said === "completed") {
+            const outcome = result.answer.headers[requestHeaders.answer];
+            if (outcome === "completed") {
                 return result;
             }
-            const surelyNot = said === "notRun" || said === "overloaded";
+            const notRun = outcome === "notRun" || outcome === "overloaded";
             return {
-                kind: surelyNot ? "notRun" : "mayHaveRun",
-                reason: `the peer ${route.sessionId} said ${String(said)}`,
+                kind: notRun ? "notRun" : "mayHaveRun",
+                reason: `the peer ${route.sessionId} answered with ${String(outcome)}`,
             };
         }
         finally {
@@ -273,7 +282,7 @@
             return undefined;
         }
         return await node.claims.claim(request.service, request.requestId)
-            ?? die("mayHaveRun", `request ${request.requestId} was sent before; it ran once at most`);
+            ?? die("mayHaveRun", `request ${request.requestId} was sent before; it may have run, at most once`);
     };
 
     const handle = async (request: CallerRequest): Promise<UpstreamAnswer> => {
@@ -285,7 +294,7 @@
             return await tryRoutes(request);
         }
         catch (error) {
-            if (surelyNotRun.has(failureOf(error).kind)) {
+            if (notRunKinds.has(failureOf(error).kind)) {
                 await claimed?.release();
             }
             throw error;
@@ -295,10 +304,10 @@
     const tryRoutes = async (request: CallerRequest): Promise<UpstreamAnswer> => {
         let reason = "";
         let mayHaveRun = false;
-        for (let left = maxTries; left > 0; left -= 1) {
+        for (let triesLeft = maxTries; triesLeft > 0; triesLeft -= 1) {
             const startedAtMs = clock.monotonicMs();
-            const route = await node.router.route(request.service, request.forwarded, request.giveUpAtMs);
-            noteRoute(request, route, startedAtMs);
+            const route = await node.router.route(request.service, request.forwarded, request.deadlineAtMs);
+            recordRoute(request, route, startedAtMs);
             const result = route.kind === "slot" ? await tryUpstream(request, route) : await tryPeer(request, route);
             if (result.kind === "answered") {
                 return result.answer;
@@ -306,9 +315,9 @@
             reason = result.reason;
             mayHaveRun ||= result.kind === "mayHaveRun";
             if (mayHaveRun && !request.idempotent) {
-                return die("mayHaveRun", `request ${request.requestId} was sent and not answered: ${reason}`);
+                return die("mayHaveRun", `request ${request.requestId} was sent but not answered: ${reason}`);
             }
-            if (clock.monotonicMs() >= request.giveUpAtMs) {
+            if (clock.monotonicMs() >= request.deadlineAtMs) {
                 break;
             }
             meter.count("requestRetries");
@@ -327,7 +336,7 @@
     };
 
     const sendAnswer = (reply: FastifyReply, answer: UpstreamAnswer): FastifyReply => {
-        for (const name of passedHeaders) {
+        for (const name of relayedHeaders) {
             const value = answer.headers[name];
             if (value !== undefined) {
                 reply.header(name, value);
@@ -370,8 +379,8 @@
     return {
         inFlight: () => inFlight,
         drain: async timeoutMs => {
-            const giveUpAtMs = clock.monotonicMs() + timeoutMs;
-            while (inFlight > 0 && clock.monotonicMs() < giveUpAtMs) {
+            const deadlineAtMs = clock.monotonicMs() + timeoutMs;
+            while (inFlight > 0 && clock.monotonicMs() < deadlineAtMs) {
                 await sleep(clock, drainPollMs);
             }
         },
--- a/packages/puffinarchd/src/settings.ts
+++ b/packages/puffinarchd/src/settings.ts
@@ -1,4 +1,4 @@
-/** The daemon's settings: a YAML file, checked whole, each wrong field named with its line and what is allowed. */
+/** Settings of the daemon, read from a YAML file. The whole file is checked, and every wrong field is reported with its line. */
 
 import {
     check,
@@ -15,7 +15,7 @@
 import { z } from "zod";
 import { checkYaml, readSettingsFile } from "./settingsFile.js";
 
-const urlAllowed = "an http URL with an IP number and a port, such as http://127.0.0.1:7000";
+const urlAllowed = "an http URL with an IP address and a port, such as http://127.0.0.1:7000";
 const urlSchema = z.string(urlAllowed).regex(/^http:\/\/(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, urlAllowed);
 const hostAllowed = "an IP number, such as 127.0.0.1";
 const hostSchema = z.string(hostAllowed).regex(/^(\d{1,3}\.){3}\d{1,3}$/, hostAllowed);
@@ -59,7 +59,7 @@
     vmId: nameSchema,
     dataCentre: nameSchema,
     listen: z.strictObject({ host: hostSchema, port: wholeNumber(0, 65_535) }),
-    /** Where peers reach this daemon; the listening address where it is left out. */
+    /** Address at which peers reach this daemon; the listening address if it is missing. */
     advertisedAddress: urlSchema.optional(),
     platformAddress: urlSchema,
     logLevel: oneOf(logLevels).optional(),
@@ -68,18 +68,18 @@
     limits: limitSchema.optional(),
 });
 
-/** What the settings file says, as it stands there. */
+/** Contents of the settings file, without defaults filled in. */
 export type DaemonSettings = z.infer<typeof settingsSchema>;
 
-/** How long a stopping daemon goes on serving after it has told the balancer. */
+/** How long a stopping daemon keeps serving, so that the load balancer can notice that it is not ready. */
 export const defaultBalancerNoticeMs = 500;
-/** Limit of a request whose caller names none. */
+/** Time limit of a request whose caller sets none. */
 export const defaultRequestTimeoutMs = 10_000;
-/** Largest body of a request. */
+/** Largest body of a request, in bytes. */
 export const defaultMaxBodyBytes = 1024 * 1024;
 
-/** Timings that would break a promise when set against each other. */
-const contradictions = (settings: DaemonSettings): readonly Violation[] => {
+/** Finds timings that are valid on their own but break a guarantee in combination. */
+const inconsistentTimings = (settings: DaemonSettings): readonly Violation[] => {
     const timings = { ...defaultNodeSettings, ...settings.timings };
     const violations: Violation[] = [];
     if (timings.deathGraceMs <= timings.startValidityMs) {
@@ -122,7 +122,7 @@
 export const parseSettings = (text: string): DaemonSettings =>
     checkYaml(text, input => {
         const settings = check(settingsSchema, input, "settings file");
-        const wrong = contradictions(settings);
+        const wrong = inconsistentTimings(settings);
         return wrong.length === 0 ? settings : rejectAll(wrong, "settings file");
     });
 
@@ -135,7 +135,7 @@
 export const readSettings = (path: string): DaemonSettings => parseSettings(readSettingsFile(path));
 
 /**
- * Gives the part of the settings that the node needs.
+ * Returns the settings of the node, with defaults for what the file leaves out.
  *
  * @example
  * nodeSettings(settings).leaseMs; // 10000
--- a/packages/puffinarchd/src/settingsFile.ts
+++ b/packages/puffinarchd/src/settingsFile.ts
@@ -1,9 +1,10 @@
-/** Reading a settings file in YAML: every wrong field is named with its line and what is allowed. */
+/** Reads settings files in YAML and adds the line to each violation found in them. */
 
 import { readFileSync } from "node:fs";
 import { die, failureOf, rejectAll, type Violation } from "puffinarch";
 import { type Document, isMap, isNode, LineCounter, parseDocument } from "yaml";
 
+/** Returns the line of a field, or of its closest parent in the file. */
 const lineOf = (document: Document, lines: LineCounter, field: string): number | undefined => {
     const path = field.split(".").filter(part => part !== "");
     while (path.length > 0) {
@@ -21,7 +22,8 @@
     violations.map(violation => ({ ...violation, line: lineOf(document, lines, violation.field) }));
 
 /**
- * Checks the text of a settings file; fails with the kind `invalid` and every violation with its line.
+ * Parses the text of a settings file and checks it with `checkInput`. Fails with the kind `invalid` and every violation with its
+ * line.
  *
  * @example
  * checkYaml("vmId: vm-1", input => check(schema, input, "settings file"));
@@ -52,7 +54,7 @@
 };
 
 /**
- * Reads the text of a settings file.
+ * Reads the text of a settings file; fails with the kind `invalid` if it cannot be read.
  *
  * @example
  * const text = readSettingsFile("puffinarchd.yaml");
