--- a/packages/puffinarch-cli/src/commands/waterfall.ts
+++ b/packages/puffinarch-cli/src/commands/waterfall.ts
@@ -1,4 +1,4 @@
-/** `puffinarch waterfall`: where the time of jobs went, from the logs of any number of daemons. */
+/** `puffinarch waterfall`: how long jobs took in each stage, from the logs of any number of daemons. */
 
 import type { Command } from "commander";
 import { writeFileSync } from "node:fs";
@@ -39,27 +39,27 @@
     { title: "STATE", cell: job => job.state },
     { title: "TOOK", cell: job => job.tookMs },
     { title: "OBJECTIVE", cell: job => job.objectiveMs ?? "-" },
-    { title: "COST MOST", cell: job => `${job.worst} ${job.stagesMs[job.worst]}` },
+    { title: "WORST STAGE", cell: job => `${job.worst} ${job.stagesMs[job.worst]}` },
 ];
 
 const legend = (): string => stageNames.map(name => `  ${name.padEnd(8)} ${stageMeanings[name]}\n`).join("");
 
-const show = (groups: readonly GroupSummary[], slowest: readonly JobTimes[], skipped: number): string =>
+const format = (groups: readonly GroupSummary[], slowest: readonly JobTimes[], skipped: number): string =>
     `Milliseconds at p50/p90/p99.\n${legend()}\n${tableOf(groupColumns, groups)}\n${tableOf(jobColumns, slowest)}`
     + `${skipped} lines were not structured ones.\n`;
 
 /**
- * Adds the command.
+ * Adds the command `waterfall`.
  *
  * @example
  * addWaterfallCommand(program, context);
  */
 export const addWaterfallCommand = (program: Command, context: CliContext): void => {
     program.command("waterfall <logs...>")
-        .description("show by queue where the time of jobs went, from the logs of any number of daemons")
-        .option("--by-shape", "a group for each number of steps and widest step")
-        .option("--slowest <n>", "how many late jobs to name, or slow ones where none is late", "10")
-        .option("--svg <file>", "draw the groups as well")
+        .description("Show for each queue how long jobs took in each stage, from the logs of any number of daemons.")
+        .option("--by-shape", "group by the number of steps and the tasks of the widest step as well")
+        .option("--slowest <n>", "number of late jobs to list, or of the slowest jobs if none is late", "10")
+        .option("--svg <file>", "also draw the groups into this file")
         .action((paths: readonly string[], flags: WaterfallFlags, command: Command) => {
             const { lines, skipped } = readLogs(paths);
             const jobs = jobTimes(lines);
@@ -73,6 +73,6 @@
                 context.output.write(`${JSON.stringify({ groups, slowest, skipped }, undefined, 2)}\n`);
                 return;
             }
-            context.output.write(show(groups, slowest, skipped));
+            context.output.write(format(groups, slowest, skipped));
         });
 };
--- a/packages/puffinarch-cli/src/waterfall/drawing.ts
+++ b/packages/puffinarch-cli/src/waterfall/drawing.ts
@@ -1,4 +1,4 @@
-/** The 90th percentile of each stage as bars, one row a group. */
+/** Draws the 90th percentile of each stage as a bar chart with one row per group. */
 
 import { type StageName, stageNames } from "./stages.js";
 import type { GroupSummary } from "./summary.js";
--- a/packages/puffinarch-cli/src/waterfall/readLog.ts
+++ b/packages/puffinarch-cli/src/waterfall/readLog.ts
@@ -1,9 +1,9 @@
-/** Structured logs of any number of processes, read back as typed lines in the order of their times. */
+/** Reads the structured logs of any number of processes as typed lines, sorted by time. */
 
 import { readFileSync } from "node:fs";
 import { die } from "puffinarch";
 
-/** One line of a log; `fields` holds what the event says besides. */
+/** One line of a log; `fields` holds its other fields. */
 export interface LogLine {
     /** Milliseconds since the Unix epoch. */
     readonly atMs: number;
@@ -11,7 +11,7 @@
     readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** What was read, and how many lines were not structured ones. */
+/** The lines that were read, and the number of lines that were skipped because they are not structured. */
 export interface ReadLog {
     readonly lines: readonly LogLine[];
     readonly skipped: number;
@@ -27,7 +27,7 @@
         return typeof atMs === "number" && typeof event === "string" ? { atMs, event, fields } : undefined;
     }
     catch {
-        // Counted as skipped: logs may hold lines of other programs, and lines that were cut off.
+        // Such a line is skipped: logs may hold lines of other programs, and lines that were cut off.
         return undefined;
     }
 };
@@ -45,7 +45,7 @@
 };
 
 /**
- * Reads logs; text before the first brace of a line is passed over.
+ * Reads logs; text before the first brace of a line is ignored. Fails with the kind `invalid` if a file cannot be read.
  *
  * @example
  * const { lines, skipped } = readLogs(["entry-1.log", "entry-2.log"]);
--- a/packages/puffinarch-cli/src/waterfall/stages.ts
+++ b/packages/puffinarch-cli/src/waterfall/stages.ts
@@ -1,34 +1,35 @@
-/** Where the time of each job went, from its first refusal to the moment at which callers see its end. */
+/** Divides the time of each job into stages, from its first refusal until callers can see its end. */
 
 import type { LogLine } from "./readLog.js";
 
-/** Stages of a job, in their order; each step adds to those from advice to repeat. */
+/** Stages of a job, in order; those from `advice` to `run` are sums over its steps. */
 export const stageNames = ["refused", "advice", "room", "repeat", "run", "end"] as const;
 /** One of `stageNames`. */
 export type StageName = (typeof stageNames)[number];
 
-/** What each stage counts. */
+/** What each stage measures, for the legend. */
 export const stageMeanings: Readonly<Record<StageName, string>> = {
-    refused: "from the first refusal to the acceptance",
-    advice: "a step's turn had come, and the advisor had not answered for the first time",
-    room: "from there to the start of the task that ended last; tickets, room, the commit and the order are in it",
-    repeat: "that task's runs before its last one: failed, lost, preempted or stopped",
-    run: "that task's last run",
-    end: "from the last end to the state that callers see; the commit is in it",
+    refused: "from the first refusal of the job to its acceptance",
+    advice: "from the time at which a step may start to the advisor's first answer",
+    room: "from there to the first start of the task that ended last: tickets, room, the commit and the order",
+    repeat: "earlier runs of that task, which failed, were lost, preempted or stopped",
+    run: "last run of that task",
+    end: "from the end of the last task until callers see the state of the job, with the commit",
 };
 
-/** One job that has ended. */
+/** Times of one job that has ended. */
 export interface JobTimes {
     readonly jobId: string;
     readonly queue: string;
-    /** Steps, and tasks of the widest one. */
+    /** Number of steps, and number of tasks in the widest step, such as `3 x 8`. */
     readonly shape: string;
     readonly state: string;
+    /** Time from the first refusal, or from the acceptance if there was none, to the end. */
     readonly tookMs: number;
-    /** Undefined where the log has none. */
+    /** Undefined if the log has none. */
     readonly objectiveMs: number | undefined;
     readonly stagesMs: Readonly<Record<StageName, number>>;
-    /** The stage that cost most beside the runs. */
+    /** The longest stage other than `run`. */
     readonly worst: StageName;
 }
 
@@ -53,14 +54,15 @@
     objectiveMs: number | undefined;
 }
 
-type Take = (trace: (jobId: string) => JobTrace, line: LogLine) => void;
+/** Adds one line of the log to the trace of its job. */
+type LineHandler = (traceOf: (jobId: string) => JobTrace, line: LogLine) => void;
 
-const text = (fields: LogLine["fields"], name: string): string => {
+const textField = (fields: LogLine["fields"], name: string): string => {
     const value = fields[name];
     return typeof value === "string" ? value : "";
 };
 
-const number = (fields: LogLine["fields"], name: string): number | undefined => {
+const numberField = (fields: LogLine["fields"], name: string): number | undefined => {
     const value = fields[name];
     return typeof value === "number" ? value : undefined;
 };
@@ -70,21 +72,22 @@
     if (known !== undefined) {
         return known;
     }
-    const made: StepTimes = { advisedMs: undefined, tasks: new Map() };
-    trace.steps.set(name, made);
-    return made;
+    const created: StepTimes = { advisedMs: undefined, tasks: new Map() };
+    trace.steps.set(name, created);
+    return created;
 };
 
-/** "ID.K.STEP.INDEX" in its step, "ID.K.STEP", and its job. */
+/** Splits a task's name, `JOB.OCCURRENCE.STEP.INDEX`, into its job and its step, `JOB.OCCURRENCE.STEP`. */
 const splitTask = (task: string): { readonly jobId: string; readonly step: string; } => ({
     jobId: task.slice(0, task.indexOf(".")),
     step: task.slice(0, task.lastIndexOf(".")),
 });
 
-const takePlaced: Take = (trace, { atMs, fields }) => {
-    const step = text(fields, "step");
-    const { tasks } = stepOf(trace(step.slice(0, step.indexOf("."))), step);
-    for (const run of text(fields, "runs").split(" ")) {
+/** Records placed runs, which a line lists as `INDEX#RUN`. */
+const recordPlaced: LineHandler = (traceOf, { atMs, fields }) => {
+    const step = textField(fields, "step");
+    const { tasks } = stepOf(traceOf(step.slice(0, step.indexOf("."))), step);
+    for (const run of textField(fields, "runs").split(" ")) {
         const index = run.slice(0, run.indexOf("#"));
         const task = tasks.get(index);
         if (task === undefined) {
@@ -96,39 +99,39 @@
     }
 };
 
-const takers: Readonly<Record<string, Take>> = {
-    refused: (trace, { atMs, fields }) => {
-        const path = text(fields, "path");
+const lineHandlers: Readonly<Record<string, LineHandler>> = {
+    refused: (traceOf, { atMs, fields }) => {
+        const path = textField(fields, "path");
         if (fields["method"] === "POST") {
-            trace(path.slice(path.lastIndexOf("/") + 1)).refusedMs ??= atMs;
+            traceOf(path.slice(path.lastIndexOf("/") + 1)).refusedMs ??= atMs;
         }
     },
-    jobAccepted: (trace, { atMs, fields }) => {
-        const job = trace(text(fields, "jobId"));
+    jobAccepted: (traceOf, { atMs, fields }) => {
+        const job = traceOf(textField(fields, "jobId"));
         job.acceptedMs ??= atMs;
-        job.queue = text(fields, "queue");
+        job.queue = textField(fields, "queue");
     },
-    advice: (trace, { atMs, fields }) => {
-        const step = text(fields, "step");
-        stepOf(trace(step.slice(0, step.indexOf("."))), step).advisedMs ??= atMs;
+    advice: (traceOf, { atMs, fields }) => {
+        const step = textField(fields, "step");
+        stepOf(traceOf(step.slice(0, step.indexOf("."))), step).advisedMs ??= atMs;
     },
-    placed: takePlaced,
-    copied: takePlaced,
-    runEnded: (trace, { atMs, fields }) => {
-        const name = text(fields, "task");
+    placed: recordPlaced,
+    copied: recordPlaced,
+    runEnded: (traceOf, { atMs, fields }) => {
+        const name = textField(fields, "task");
         const { jobId, step } = splitTask(name);
-        const task = stepOf(trace(jobId), step).tasks.get(name.slice(step.length + 1));
+        const task = stepOf(traceOf(jobId), step).tasks.get(name.slice(step.length + 1));
         if (task !== undefined && fields["how"] === "done") {
             task.endedMs = atMs;
         }
     },
-    jobState: (trace, { atMs, fields }) => {
-        const job = trace(text(fields, "jobId"));
-        const to = text(fields, "to");
+    jobState: (traceOf, { atMs, fields }) => {
+        const job = traceOf(textField(fields, "jobId"));
+        const to = textField(fields, "to");
         if ((to === "completed" || to === "failed") && job.endedMs === undefined) {
             job.endedMs = atMs;
             job.state = to;
-            job.objectiveMs = number(fields, "objectiveMs");
+            job.objectiveMs = numberField(fields, "objectiveMs");
         }
     },
 };
@@ -145,7 +148,10 @@
     return last;
 };
 
-/** Walks the steps one after the other; steps that run side by side count up to the end of the later one. */
+/**
+ * Adds the stages of all steps and returns when the last step ended. Each step counts from the end of the step before it, so
+ * that time in which steps run in parallel counts once.
+ */
 const addSteps = (trace: JobTrace, acceptedMs: number, stages: Record<StageName, number>): number => {
     let readyMs = acceptedMs;
     const steps = [...trace.steps.entries()].sort(([left], [right]) => left < right ? -1 : 1);
@@ -199,19 +205,19 @@
 };
 
 /**
- * Gives the times of all jobs that a log shows from their acceptance to their end, the slowest first.
+ * Returns the times of all jobs whose acceptance and end are both in the log, slowest first.
  *
  * @example
  * const [slowest] = jobTimes(readLogs(["entry-1.log"]).lines);
  */
 export const jobTimes = (lines: readonly LogLine[]): readonly JobTimes[] => {
     const traces = new Map<string, JobTrace>();
-    const trace = (jobId: string): JobTrace => {
+    const traceOf = (jobId: string): JobTrace => {
         const known = traces.get(jobId);
         if (known !== undefined) {
             return known;
         }
-        const made: JobTrace = {
+        const created: JobTrace = {
             acceptedMs: undefined,
             refusedMs: undefined,
             queue: "",
@@ -220,11 +226,11 @@
             state: "",
             objectiveMs: undefined,
         };
-        traces.set(jobId, made);
-        return made;
+        traces.set(jobId, created);
+        return created;
     };
     for (const line of lines) {
-        takers[line.event]?.(trace, line);
+        lineHandlers[line.event]?.(traceOf, line);
     }
     const jobs: JobTimes[] = [];
     for (const [jobId, each] of traces) {
--- a/packages/puffinarch-cli/src/waterfall/summary.ts
+++ b/packages/puffinarch-cli/src/waterfall/summary.ts
@@ -1,4 +1,4 @@
-/** What many jobs have in common: percentiles of each stage, and which stage cost those that were late most. */
+/** Summarises groups of jobs: percentiles of each stage, and the worst stages of the jobs that were late. */
 
 import { type JobTimes, type StageName, stageNames } from "./stages.js";
 
@@ -9,27 +9,29 @@
     readonly p99Ms: number;
 }
 
-/** Jobs of one queue, or of one shape in it. */
+/** Summary of the jobs of one queue, or of one shape in a queue. */
 export interface GroupSummary {
     readonly name: string;
+    /** Number of jobs. */
     readonly jobs: number;
+    /** Number of jobs that took longer than their objective. */
     readonly late: number;
     readonly tookMs: StageSummary;
     readonly stages: Readonly<Record<StageName, StageSummary>>;
-    /** Late jobs by the stage that cost most. */
+    /** Number of late jobs by their worst stage. */
     readonly lateBy: Readonly<Partial<Record<StageName, number>>>;
 }
 
-const at = (sorted: readonly number[], share: number): number =>
+const percentileOf = (sorted: readonly number[], share: number): number =>
     Math.round(sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? 0);
 
 const summaryOf = (values: readonly number[]): StageSummary => {
     const sorted = [...values].sort((left, right) => left - right);
-    return { p50Ms: at(sorted, 0.5), p90Ms: at(sorted, 0.9), p99Ms: at(sorted, 0.99) };
+    return { p50Ms: percentileOf(sorted, 0.5), p90Ms: percentileOf(sorted, 0.9), p99Ms: percentileOf(sorted, 0.99) };
 };
 
 /**
- * Tells whether a job took longer than its objective; false where the log names none.
+ * Returns whether a job took longer than its objective; false if the log names none.
  *
  * @example
  * jobs.filter(isLate).length;
@@ -56,7 +58,7 @@
 };
 
 /**
- * Sums jobs up by a key, the largest group first.
+ * Groups jobs by a key and summarises each group, the largest first.
  *
  * @example
  * summarize(jobs, job => job.queue);
