--- a/packages/puffinarch-cli/src/client.ts
+++ b/packages/puffinarch-cli/src/client.ts
@@ -7,13 +7,13 @@
 import { die, errorAnswers, type ErrorKind, errorOf, type Failure } from "puffinarch";
 import type { CliSettings } from "./settings.js";
 
-/** Calls of one service through whichever endpoint answers. */
+/** Runs a call of one service on the first endpoint that answers. */
 export type Caller<S extends DescService> = <T>(call: (client: Client<S>) => Promise<T>) => Promise<T>;
 
 const isKind = (kind: string): kind is ErrorKind => kind in errorAnswers;
 
 /**
- * Reads the failure that a daemon attached to its answer; undefined where the error is not a daemon's.
+ * Returns the failure that a daemon attached to its answer; undefined if the error does not come from a daemon.
  *
  * @example
  * failureFrom(new ConnectError("no", Code.Unavailable)); // undefined
@@ -27,8 +27,8 @@
     return { kind, message, violations, retryAfterMs, winningVersion, difference };
 };
 
-/** Codes after which another endpoint may be asked: the call was surely not answered by a daemon. */
-const tryNextCodes: ReadonlySet<Code> = new Set([
+/** Codes of errors without a daemon's answer after which the next endpoint is tried. */
+const nextEndpointCodes: ReadonlySet<Code> = new Set([
     Code.Unavailable,
     Code.DeadlineExceeded,
     Code.Aborted,
@@ -37,14 +37,15 @@
 ]);
 
 /**
- * Makes the calls of one service. A daemon's own answer is final; only silence moves on to the next endpoint.
+ * Creates the function that calls one service. The next endpoint is tried if a daemon does not answer, or answers with
+ * `unavailable` or `notAccepted`; every other answer is final.
  *
  * @example
  * const jobs = createCaller(JobService, settings);
  * await jobs(client => client.getJob({ jobId: "load-in-7" }));
  */
 export const createCaller = <S extends DescService>(service: S, settings: CliSettings): Caller<S> => async call => {
-    const silent: string[] = [];
+    const failures: string[] = [];
     for (const baseUrl of settings.endpoints) {
         const transport = createConnectTransport({ baseUrl, httpVersion: "1.1", defaultTimeoutMs: settings.timeoutMs });
         try {
@@ -56,11 +57,11 @@
             if (failure !== undefined && failure.kind !== "unavailable" && failure.kind !== "notAccepted") {
                 throw errorOf(failure);
             }
-            if (failure === undefined && !tryNextCodes.has(connectError.code)) {
+            if (failure === undefined && !nextEndpointCodes.has(connectError.code)) {
                 throw errorOf({ kind: "internal", message: connectError.message });
             }
-            silent.push(`${baseUrl}: ${failure?.message ?? connectError.rawMessage}`);
+            failures.push(`${baseUrl}: ${failure?.message ?? connectError.rawMessage}`);
         }
     }
-    return die("unavailable", `no endpoint answered; ${silent.join("; ")}`);
+    return die("unavailable", `no endpoint answered; ${failures.join("; ")}`);
 };
--- a/packages/puffinarch-cli/src/commands/cluster.ts
+++ b/packages/puffinarch-cli/src/commands/cluster.ts
@@ -28,7 +28,7 @@
 
 const addWorkerCommands = (program: Command, context: CliContext): void => {
     const worker = program.command("worker").description("Workers and what they run.");
-    worker.command("list").option("--data-centre <name>", "only this data centre's", "")
+    worker.command("list").option("--data-centre <name>", "only workers of this data centre", "")
         .action(async (flags: { readonly dataCentre: string; }, command: Command) => {
             const response = await context.caller(command, ClusterService)(client => client.listWorkers(flags));
             context.show(command, ListWorkersResponseSchema, response, () => tableOf(workerColumns, response.workers));
@@ -50,7 +50,7 @@
 
 const addUpstreamCommands = (program: Command, context: CliContext): void => {
     program.command("upstream").description("Upstreams and their slots.")
-        .command("list").option("--service <name>", "only this service's", "")
+        .command("list").option("--service <name>", "only upstreams of this service", "")
         .action(async (flags: { readonly service: string; }, command: Command) => {
             const response = await context.caller(command, ClusterService)(client => client.listUpstreams(flags));
             context.show(command, ListUpstreamsResponseSchema, response, () =>
@@ -85,13 +85,13 @@
         .description("Start a graceful shutdown: in-flight requests finish, work is handed over.")
         .action(async (daemonId: string, _flags: unknown, command: Command) => {
             await context.caller(command, ClusterService)(client => client.drainDaemon({ daemonId }));
-            context.say(command, { daemonId, draining: true }, `${daemonId} drains`);
+            context.showFields(command, { daemonId, draining: true }, `${daemonId} is draining`);
         });
 };
 
 const addDecisionCommands = (program: Command, context: CliContext): void => {
     program.command("decision").description("Placement and routing decisions.")
-        .command("list").option("--subject <id>", "only this task's or request's", "").option(
+        .command("list").option("--subject <id>", "only decisions about this task or request", "").option(
             "--page-size <n>",
             "1 to 1000",
             "100",
@@ -114,7 +114,7 @@
         .description("Change the log level of the daemon that answers: error, warn, info or debug.")
         .action(async (level: string, _flags: unknown, command: Command) => {
             const { previous } = await context.caller(command, ClusterService)(client => client.setLogLevel({ level }));
-            context.say(command, { previous, level }, `the log level was ${previous} and is ${level}`);
+            context.showFields(command, { previous, level }, `the log level was ${previous} and is ${level}`);
         });
 };
 
@@ -150,7 +150,7 @@
 };
 
 /**
- * Adds the commands that inspect and look after the cell.
+ * Adds the commands that inspect and operate the cell.
  *
  * @example
  * addClusterCommands(program, context);
--- a/packages/puffinarch-cli/src/commands/configuration.ts
+++ b/packages/puffinarch-cli/src/commands/configuration.ts
@@ -32,7 +32,8 @@
 import { type CliContext, numberFrom, readDocumentFile } from "../context.js";
 import { amountOf, type Column, tableOf, timeOf } from "../output.js";
 
-interface Accepted {
+/** Answer to a change. */
+interface AcceptedChange {
     readonly version: number;
 }
 
@@ -67,10 +68,11 @@
     { title: "REASON", cell: each => each.reason },
 ];
 
-const withChange = (command: Command): Command =>
+/** Adds the options that every change of the configuration takes. */
+const withChangeOptions = (command: Command): Command =>
     command
         .option("--expected-version <n>", "version that the change is based on; the one in force by default")
-        .option("--reason <text>", "why", "");
+        .option("--reason <text>", "reason for the change", "");
 
 const kinds: Readonly<Record<string, WorkloadKind>> = {
     batch: WorkloadKind.BATCH,
@@ -83,8 +85,8 @@
         violations: [{ field: "kind", value: `"${text}"`, allowed: `one of ${Object.keys(kinds).join(", ")}` }],
     });
 
-/** Who changes what: the version is read from the cluster where the operator gave none. */
-const changeOf = async (context: CliContext, command: Command, flags: ChangeFlags) => {
+/** Builds the context of a change. Without `--expected-version` the change is based on the version in force. */
+const changeContext = async (context: CliContext, command: Command, flags: ChangeFlags) => {
     const { author } = context.settings(command);
     if (flags.expectedVersion !== undefined) {
         return { expectedVersion: numberFrom("expected-version", flags.expectedVersion), author, reason: flags.reason };
@@ -95,7 +97,7 @@
     return { expectedVersion: configuration?.version ?? 0, author, reason: flags.reason };
 };
 
-/** The schema writes kinds in capitals; files may use the short words. */
+/** Reads a configuration file. Files name kinds in short, such as `batch`; the schema's JSON form is `WORKLOAD_KIND_BATCH`. */
 const documentFrom = (path: string): ConfigurationDocument => {
     const content = readDocumentFile(path);
     const classes = Array.isArray(content["workloadClasses"])
@@ -108,7 +110,7 @@
     catch (error) {
         const message = error instanceof Error ? error.message : String(error);
         const allowed = "policies, workloadClasses and quotas as docs/operators/configuration.md shows";
-        return die("invalid", `file does not hold a configuration: ${message}`, {
+        return die("invalid", `the file does not hold a valid configuration: ${message}`, {
             violations: [{ field: "file", value: `"${path}"`, allowed }],
         });
     }
@@ -127,7 +129,7 @@
     });
 
 const addPolicyCommands = (program: Command, context: CliContext): void => {
-    const policy = program.command("policy").description("Named ways to place tasks.");
+    const policy = program.command("policy").description("Named policies for the placement of tasks.");
     policy.command("list").action(async (_flags: unknown, command: Command) => {
         const response = await context.caller(command, PolicyService)(client => client.listPolicies({}));
         context.show(command, ListPoliciesResponseSchema, response, () => tableOf(policyColumns, response.policies));
@@ -142,9 +144,9 @@
         );
     });
     for (const verb of ["create", "update"] as const) {
-        withChange(policy.command(`${verb} <name>`))
+        withChangeOptions(policy.command(`${verb} <name>`))
             .requiredOption("--placement <handler>", "bestFit, worstFit, firstFit, randomOfK or gang")
-            .option("--sample-size <n>", "candidates that randomOfK looks at", "2")
+            .option("--sample-size <n>", "number of candidates that randomOfK compares", "2")
             .addHelpText(
                 "after",
                 `\nExample:\n  puffinarch policy ${verb} tight --placement bestFit --reason "denser nights"`,
@@ -161,24 +163,30 @@
                             placement: flags.placement,
                             sampleSize: numberFrom("sample-size", flags.sampleSize),
                         },
-                        context: await changeOf(context, command, flags),
+                        context: await changeContext(context, command, flags),
                     };
-                    const response = await context.caller(command, PolicyService)((client): Promise<Accepted> =>
+                    const response = await context.caller(command, PolicyService)((client): Promise<AcceptedChange> =>
                         verb === "create" ? client.createPolicy(request) : client.updatePolicy(request)
                     );
-                    context.say(command, { version: response.version }, `version ${response.version} is accepted`);
+                    context.showFields(
+                        command,
+                        { version: response.version },
+                        `version ${response.version} is accepted`,
+                    );
                 },
             );
     }
-    withChange(policy.command("delete <name>")).action(async (name: string, flags: ChangeFlags, command: Command) => {
-        const request = { name, context: await changeOf(context, command, flags) };
-        const { version } = await context.caller(command, PolicyService)(client => client.deletePolicy(request));
-        context.say(command, { version }, `version ${version} is accepted`);
-    });
+    withChangeOptions(policy.command("delete <name>")).action(
+        async (name: string, flags: ChangeFlags, command: Command) => {
+            const request = { name, context: await changeContext(context, command, flags) };
+            const { version } = await context.caller(command, PolicyService)(client => client.deletePolicy(request));
+            context.showFields(command, { version }, `version ${version} is accepted`);
+        },
+    );
 };
 
 const addClassCommands = (program: Command, context: CliContext): void => {
-    const workloadClass = program.command("class").description("Named kinds of work; each names its policy.");
+    const workloadClass = program.command("class").description("Workload classes; each refers to a policy.");
     workloadClass.command("list").action(async (_flags: unknown, command: Command) => {
         const response = await context.caller(command, WorkloadClassService)(client => client.listWorkloadClasses({}));
         context.show(
@@ -196,10 +204,10 @@
         context.show(command, GetWorkloadClassResponseSchema, response, () => tableOf(classColumns, rows));
     });
     for (const verb of ["create", "update"] as const) {
-        withChange(workloadClass.command(`${verb} <name>`))
+        withChangeOptions(workloadClass.command(`${verb} <name>`))
             .requiredOption("--kind <kind>", "batch, service or gang")
             .requiredOption("--policy <name>", "policy that places its tasks")
-            .option("--priority <n>", "0 to 9; a higher one is placed first", "3")
+            .option("--priority <n>", "0 to 9; tasks with a higher priority are placed first", "3")
             .action(
                 async (
                     name: string,
@@ -213,28 +221,36 @@
                             policy: flags.policy,
                             priority: numberFrom("priority", flags.priority),
                         },
-                        context: await changeOf(context, command, flags),
+                        context: await changeContext(context, command, flags),
                     };
-                    const response = await context.caller(command, WorkloadClassService)((client): Promise<Accepted> =>
+                    const response = await context.caller(command, WorkloadClassService)((
+                        client,
+                    ): Promise<AcceptedChange> =>
                         verb === "create" ? client.createWorkloadClass(request) : client.updateWorkloadClass(request)
                     );
-                    context.say(command, { version: response.version }, `version ${response.version} is accepted`);
+                    context.showFields(
+                        command,
+                        { version: response.version },
+                        `version ${response.version} is accepted`,
+                    );
                 },
             );
     }
-    withChange(workloadClass.command("delete <name>")).action(
+    withChangeOptions(workloadClass.command("delete <name>")).action(
         async (name: string, flags: ChangeFlags, command: Command) => {
-            const request = { name, context: await changeOf(context, command, flags) };
+            const request = { name, context: await changeContext(context, command, flags) };
             const { version } = await context.caller(command, WorkloadClassService)(client =>
                 client.deleteWorkloadClass(request)
             );
-            context.say(command, { version }, `version ${version} is accepted`);
+            context.showFields(command, { version }, `version ${version} is accepted`);
         },
     );
 };
 
 const addQuotaCommands = (program: Command, context: CliContext): void => {
-    const quota = program.command("quota").description("What a team's running tasks may hold at once.");
+    const quota = program.command("quota").description(
+        "Limits on the resources that the running tasks of a team hold at once.",
+    );
     quota.command("list").action(async (_flags: unknown, command: Command) => {
         const response = await context.caller(command, ClusterService)(client => client.listQuotas({}));
         context.show(command, ListQuotasResponseSchema, response, () => tableOf(quotaColumns, response.quotas));
@@ -254,11 +270,11 @@
         flags: ChangeFlags,
         command: Command,
     ) => {
-        const request = { quota: { team, ...amount }, context: await changeOf(context, command, flags) };
+        const request = { quota: { team, ...amount }, context: await changeContext(context, command, flags) };
         const response = await context.caller(command, ClusterService)(client => client.setQuota(request));
         context.show(command, SetQuotaResponseSchema, response, () => `version ${response.version} is accepted\n`);
     };
-    withChange(quota.command("set <team>"))
+    withChangeOptions(quota.command("set <team>"))
         .requiredOption("--cpu-millis <n>", "thousandths of a core")
         .requiredOption("--memory-mib <n>", "mebibytes")
         .action((
@@ -274,7 +290,7 @@
             flags,
             command,
         ));
-    withChange(quota.command("delete <team>")).action((team: string, flags: ChangeFlags, command: Command) =>
+    withChangeOptions(quota.command("delete <team>")).action((team: string, flags: ChangeFlags, command: Command) =>
         set(team, { cpuMillis: 0, memoryMib: 0 }, flags, command)
     );
 };
@@ -345,14 +361,14 @@
 };
 
 const addConfigChanges = (config: Command, context: CliContext): void => {
-    withChange(config.command("apply <file>"))
-        .description("Make a file the next version.")
+    withChangeOptions(config.command("apply <file>"))
+        .description("Apply a file as the next version.")
         .addHelpText(
             "after",
             '\nExample:\n  puffinarch config apply configuration.yaml --expected-version 4 --reason "festival week"',
         )
         .action(async (file: string, flags: ChangeFlags, command: Command) => {
-            const request = { document: documentFrom(file), context: await changeOf(context, command, flags) };
+            const request = { document: documentFrom(file), context: await changeContext(context, command, flags) };
             const response = await context.caller(command, ConfigurationService)(client =>
                 client.applyConfiguration(request)
             );
@@ -369,7 +385,11 @@
             await context.caller(command, ConfigurationService)(client =>
                 client.deleteConfiguration({ version: numberFrom("version", version) })
             );
-            context.say(command, { removedVersion: Number(version) }, `version ${version} is removed from the history`);
+            context.showFields(
+                command,
+                { removedVersion: Number(version) },
+                `version ${version} is removed from the history`,
+            );
         });
 };
 
--- a/packages/puffinarch-cli/src/commands/job.ts
+++ b/packages/puffinarch-cli/src/commands/job.ts
@@ -63,15 +63,15 @@
 
 const addSubmit = (job: Command, context: CliContext): void => {
     job.command("submit <job-id>")
-        .description("Submit a job. Submitting the same job again is harmless.")
+        .description("Submit a job. Submitting the same job again has no effect.")
         .requiredOption("--class <name>", "workload class")
-        .requiredOption("--team <name>", "team that the job counts against")
+        .requiredOption("--team <name>", "team whose quota the job counts against")
         .option("--tasks <n>", "number of equal tasks", "1")
-        .option("--cpu-millis <n>", "thousandths of a core a task", "1000")
-        .option("--memory-mib <n>", "mebibytes a task", "1024")
-        .option("--accelerators <n>", "accelerators a task", "0")
+        .option("--cpu-millis <n>", "thousandths of a core per task", "1000")
+        .option("--memory-mib <n>", "mebibytes of memory per task", "1024")
+        .option("--accelerators <n>", "accelerators per task", "0")
         .option("--at-most-once", "never start a task a second time")
-        .option("--payload <text>", "text handed to the worker", "")
+        .option("--payload <text>", "text passed to the worker", "")
         .addHelpText("after", "\nExample:\n  puffinarch job submit load-in-7 --class batch --team rigging --tasks 4")
         .action(async (jobId: string, flags: SubmitFlags, command: Command) => {
             const spec = {
@@ -95,7 +95,7 @@
 const addReads = (job: Command, context: CliContext): void => {
     job.command("get <job-id>")
         .description("Show a job.")
-        .option("--tasks", "show its tasks too")
+        .option("--tasks", "show its tasks instead")
         .action(async (jobId: string, flags: { readonly tasks?: boolean; }, command: Command) => {
             const call = context.caller(command, JobService);
             if (flags.tasks === true) {
@@ -108,9 +108,9 @@
         });
     job.command("list")
         .description("List jobs.")
-        .option("--team <name>", "only this team's", "")
+        .option("--team <name>", "only jobs of this team", "")
         .option("--page-size <n>", "1 to 1000", "100")
-        .option("--page-token <token>", "where the last page ended", "")
+        .option("--page-token <token>", "token of the page, from the answer with the page before it", "")
         .action(
             async (
                 flags: { readonly team: string; readonly pageSize: string; readonly pageToken: string; },
@@ -136,13 +136,13 @@
 
 const addChanges = (job: Command, context: CliContext): void => {
     job.command("cancel <job-id>")
-        .description("Cancel a job; waiting tasks end at once, running ones are stopped.")
+        .description("Cancel a job; queued tasks end at once, running ones are stopped.")
         .action(async (jobId: string, _flags: unknown, command: Command) => {
             const response = await context.caller(command, JobService)(client => client.cancelJob({ jobId }));
             context.show(command, CancelJobResponseSchema, response, () => showJobs([response.job]));
         });
     job.command("cancel-task <task-id>")
-        .description("Cancel one task; the rest of its job goes on.")
+        .description("Cancel one task; the other tasks of its job go on.")
         .action(async (taskId: string, _flags: unknown, command: Command) => {
             const response = await context.caller(command, JobService)(client => client.cancelTask({ taskId }));
             context.show(command, CancelTaskResponseSchema, response, () => showTasks([response.task]));
@@ -183,7 +183,7 @@
     addReads(job, context);
     addChanges(job, context);
     program.command("explain <task-id>")
-        .description("Say why a task runs where it does, or why it waits.")
+        .description("Explain why a task runs where it does, or why it waits.")
         .addHelpText("after", "\nExample:\n  puffinarch explain load-in-7/0")
         .action(async (taskId: string, _flags: unknown, command: Command) => {
             const response = await context.caller(command, ClusterService)(client => client.explainTask({ taskId }));
@@ -192,7 +192,7 @@
                     `  ${timeOf(each.atMs)} ${each.daemonId}: ${
                         each.chosen === "" ? "nothing chosen" : each.chosen
                     }; ${each.reason}`
-                    + ` (policy ${each.policy}, ${each.alternatives} looked at, ${each.durationUs.toFixed(0)} us)`
+                    + ` (policy ${each.policy}, ${each.alternatives} alternatives, ${each.durationUs.toFixed(0)} us)`
                 );
                 return `${[response.explanation, ...lines].join("\n")}\n`;
             });
--- a/packages/puffinarch-cli/src/context.ts
+++ b/packages/puffinarch-cli/src/context.ts
@@ -1,4 +1,4 @@
-/** What every command has at hand. */
+/** Context of the commands: settings, calls to daemons and output. */
 
 import type { DescMessage, DescService, MessageShape } from "@bufbuild/protobuf";
 import type { Command } from "commander";
@@ -13,17 +13,17 @@
 export interface CliContext {
     readonly output: Output;
     settings(command: Command): CliSettings;
-    /** Whether JSON is asked for; also for commands that call no daemon and need no settings. */
+    /** Returns whether `--json` was given; works without valid settings, for commands that call no daemon. */
     wantsJson(command: Command): boolean;
     caller<S extends DescService>(command: Command, service: S): Caller<S>;
     /** Writes a message as JSON with `--json`, and as the given text otherwise. */
     show<D extends DescMessage>(command: Command, schema: D, message: MessageShape<D>, text: () => string): void;
-    /** Writes a short answer: the fields as JSON with `--json`, the line of text otherwise. */
-    say(command: Command, fields: Readonly<Record<string, unknown>>, text: string): void;
+    /** Writes fields as JSON with `--json`, and a line of text otherwise. */
+    showFields(command: Command, fields: Readonly<Record<string, unknown>>, text: string): void;
 }
 
 /**
- * Makes the context of one run of the tool.
+ * Creates the context of one run of the tool.
  *
  * @example
  * const context = createContext(output, process.env);
@@ -38,13 +38,13 @@
         caller: (command, service) => createCaller(service, settings(command)),
         show: (command, schema, message, text) =>
             output.write(settings(command).json ? jsonOf(schema, message) : text()),
-        say: (command, fields, text) =>
+        showFields: (command, fields, text) =>
             output.write(`${settings(command).json ? JSON.stringify(fields, undefined, 2) : text}\n`),
     };
 };
 
 /**
- * Reads a whole number from a flag or argument.
+ * Reads a whole number from a flag or argument; fails with the kind `invalid` for anything else.
  *
  * @example
  * numberFrom("tasks", "8"); // 8
@@ -60,7 +60,7 @@
 };
 
 /**
- * Reads a YAML or JSON file named on the command line.
+ * Reads a YAML or JSON file named on the command line; fails with the kind `invalid` if it holds no map.
  *
  * @example
  * const document = readDocumentFile("configuration.yaml");
--- a/packages/puffinarch-cli/src/main.ts
+++ b/packages/puffinarch-cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command `puffinarch`. */
+/** Command line entry point of `puffinarch`. */
 
 import { runCli } from "./program.js";
 
--- a/packages/puffinarch-cli/src/output.ts
+++ b/packages/puffinarch-cli/src/output.ts
@@ -1,9 +1,9 @@
-/** Answers as JSON for programs and as tables for people. */
+/** Formats answers as JSON for programs and as tables for people. */
 
 import { type DescMessage, type MessageShape, toJson } from "@bufbuild/protobuf";
 import Table from "cli-table3";
 
-/** Where the tool writes. */
+/** Receives what the tool writes. */
 export interface Output {
     write(text: string): void;
     writeError(text: string): void;
@@ -34,7 +34,7 @@
 };
 
 /**
- * Shows rows as a table without borders.
+ * Formats rows as a table without borders.
  *
  * @example
  * tableOf([{ title: "NAME", cell: row => row.name }], [{ name: "pack" }]);
@@ -52,7 +52,7 @@
 };
 
 /**
- * Shows a message as JSON, all fields with their names in the schema's JSON form.
+ * Formats a message as JSON, with all fields under their names in the schema's JSON form.
  *
  * @example
  * jsonOf(GetJobResponseSchema, response);
@@ -60,18 +60,18 @@
 export const jsonOf = <D extends DescMessage>(schema: D, message: MessageShape<D>): string =>
     `${JSON.stringify(toJson(schema, message, { alwaysEmitImplicit: true }), undefined, 2)}\n`;
 
-const millisecondsADay = 86_400_000;
+const msPerDay = 86_400_000;
 
 /**
- * Shows a point in time; 0 is none.
+ * Formats a Unix time in milliseconds. Times of the first day, such as 0 for none, give `-`.
  *
  * @example
  * timeOf(0); // "-"
  */
-export const timeOf = (atMs: number): string => atMs < millisecondsADay ? "-" : new Date(atMs).toISOString();
+export const timeOf = (atMs: number): string => atMs < msPerDay ? "-" : new Date(atMs).toISOString();
 
 /**
- * Shows an amount of resources.
+ * Formats an amount of resources.
  *
  * @example
  * amountOf({ cpuMillis: 1500, memoryMib: 64, accelerators: 0 }); // "1.5 cpu, 64 MiB"
--- a/packages/puffinarch-cli/src/program.ts
+++ b/packages/puffinarch-cli/src/program.ts
@@ -22,12 +22,16 @@
 
 const buildProgram = (output: Output, environment: CliEnvironment): Command => {
     const program = new Command("puffinarch")
-        .description("Drive a puffinarch cell: policies, classes, configurations, jobs, workers, upstreams, daemons.")
-        .option("--endpoint <url>", "a daemon's address; may be given several times, tried in turn", collect)
-        .option("--timeout-ms <n>", "limit of one call in milliseconds")
+        .description("Manage a puffinarch cell: policies, classes, configurations, jobs, workers, upstreams, daemons.")
+        .option(
+            "--endpoint <url>",
+            "address of a daemon; if given several times, the addresses are tried in turn",
+            collect,
+        )
+        .option("--timeout-ms <n>", "time limit of one call in milliseconds")
         .option("--json", "write JSON instead of tables")
         .option("--settings <file>", "YAML file with endpoints, timeoutMs and author")
-        .option("--author <name>", "who makes a change")
+        .option("--author <name>", "author of a change")
         .addHelpText("after", exitCodesHelp);
     const context = createContext(output, environment);
     addJobCommands(program, context);
@@ -37,11 +41,12 @@
     return program;
 };
 
-const prepare = (command: Command, output: Output): void => {
+/** Makes a command and its subcommands throw instead of exiting, and write to the given output. */
+const configureCommand = (command: Command, output: Output): void => {
     command.exitOverride();
     command.configureOutput({ writeOut: text => output.write(text), writeErr: text => output.writeError(text) });
     for (const child of command.commands) {
-        prepare(child, output);
+        configureCommand(child, output);
     }
 };
 
@@ -66,7 +71,7 @@
  */
 export const runCli = async (args: readonly string[], output: Output, environment: CliEnvironment): Promise<number> => {
     const program = buildProgram(output, environment);
-    prepare(program, output);
+    configureCommand(program, output);
     try {
         await program.parseAsync(args, { from: "user" });
         return 0;
--- a/packages/puffinarch-cli/src/settings.ts
+++ b/packages/puffinarch-cli/src/settings.ts
@@ -1,13 +1,13 @@
-/** Settings of the tool: flags win over the environment, the environment over the file. */
+/** Settings of the tool. Flags take precedence over the environment, and the environment over the settings file. */
 
 import { readFileSync } from "node:fs";
 import { check, die, textUpTo } from "puffinarch";
 import { parse } from "yaml";
 import { z } from "zod";
 
-/** Where the tool finds daemons, and how it shows answers. */
+/** Settings of one run of the tool. */
 export interface CliSettings {
-    /** Tried in turn until one answers. */
+    /** URLs of daemons, tried in turn until one answers. */
     readonly endpoints: readonly string[];
     readonly timeoutMs: number;
     readonly json: boolean;
@@ -23,7 +23,7 @@
     readonly author?: string;
 }
 
-/** What of the environment the tool reads. */
+/** Environment variables that the tool reads. */
 export interface CliEnvironment {
     readonly PUFFINARCH_ENDPOINTS?: string;
     readonly PUFFINARCH_TIMEOUT_MS?: string;
@@ -61,7 +61,7 @@
 const numberOf = (text: string | undefined): number | undefined => text === undefined ? undefined : Number(text);
 
 /**
- * Puts the settings together and checks them whole.
+ * Merges the settings from flags, environment and file; fails with the kind `invalid` and every wrong setting.
  *
  * @example
  * readCliSettings({ endpoint: ["http://127.0.0.1:7100"] }, { USER: "ana" }).endpoints.length; // 1
