--- a/packages/puffinarchd/src/adapters/http.ts
+++ b/packages/puffinarchd/src/adapters/http.ts
@@ -135,7 +135,8 @@
                 timer = setTimeout(check, leftMs);
                 return;
             }
-            // Checked before the abort, which closes the request's connection. A request without one was not sent, and never will be.
+            // Checked before the abort, which closes the request's connection. While the pool has none open, the request was not
+            // sent, and the abort keeps it from being sent later.
             const code = isConnected() ? undefined : neverSentCode;
             abort.abort();
             reject(Object.assign(new Error(`no answer within ${timeoutMs} ms`), { code }));
--- a/packages/puffinarchd/src/proxy.ts
+++ b/packages/puffinarchd/src/proxy.ts
@@ -63,7 +63,7 @@
     readonly requestId: string;
     readonly caller: string;
     readonly idempotent: boolean;
-    /** True if this daemon generated the id, which is then unique, so that no claim is needed. */
+    /** True if this daemon generated the id. It is unique then, so that no claim on it is needed. */
     readonly claimed: boolean;
     /** True if another daemon forwarded the request. */
     readonly forwarded: boolean;
@@ -289,13 +289,13 @@
         if (node.draining() && !request.forwarded) {
             die("notRun", "this daemon is shutting down", { retryAfterMs: defaultRetryAfterMs });
         }
-        const claimed = await claim(request);
+        const requestClaim = await claim(request);
         try {
             return await tryRoutes(request);
         }
         catch (error) {
             if (notRunKinds.has(failureOf(error).kind)) {
-                await claimed?.release();
+                await requestClaim?.release();
             }
             throw error;
         }
