--- a/packages/stand-ins/src/cell/brokenParts.ts
+++ b/packages/stand-ins/src/cell/brokenParts.ts
@@ -1,31 +1,31 @@
-/** Parts that can be broken on purpose. A check that finds none of them proves nothing. */
+/** Parts of a node's environment that tests break on purpose, to prove that the checks detect each defect. */
 
 import type { NodePorts, NodeSettings, PeerCallName, PeerCalls } from "puffinarch";
 
-/** A node's surroundings with one part broken. */
-export interface Broken {
+/** Ports and setting overrides of a node after a part was broken. */
+export interface BrokenEnvironment {
     readonly ports: NodePorts;
     readonly settings: Partial<NodeSettings>;
 }
 
-type Breaker = (ports: NodePorts) => Broken;
+type BreakFunction = (ports: NodePorts) => BrokenEnvironment;
 
-const withTable = (ports: NodePorts, transact: NodePorts["table"]["transact"]): Broken => ({
+const replaceTransact = (ports: NodePorts, transact: NodePorts["table"]["transact"]): BrokenEnvironment => ({
     ports: { ...ports, table: { ...ports.table, transact } },
     settings: {},
 });
 
-const withWorkers = (ports: NodePorts, workers: Partial<NodePorts["workers"]>): Broken => ({
+const replaceWorkerCalls = (ports: NodePorts, workers: Partial<NodePorts["workers"]>): BrokenEnvironment => ({
     ports: { ...ports, workers: { ...ports.workers, ...workers } },
     settings: {},
 });
 
-/** Changes the answers of one kind of call between daemons. */
-const withAnswers = <K extends PeerCallName>(
+/** Applies a change to the answers of one kind of call between daemons. */
+const mapPeerAnswers = <K extends PeerCallName>(
     ports: NodePorts,
     name: K,
     change: (answer: PeerCalls[K]["output"]) => PeerCalls[K]["output"],
-): Broken => ({
+): BrokenEnvironment => ({
     ports: {
         ...ports,
         peers: {
@@ -38,62 +38,63 @@
     settings: {},
 });
 
-const endlessMs = 1_000_000;
+/** Multiplies the deputy's promise so that it outlasts any run. */
+const promiseFactor = 1_000_000;
 
-const breakers = {
-    /** Writes of a home that has another holder go through. */
+const breakFunctions = {
+    /** Drops the version conditions on ownership rows of homes, so that a former owner's writes still commit. */
     noFencing: ports =>
-        withTable(ports, transaction =>
+        replaceTransact(ports, transaction =>
             ports.table.transact({
                 ...transaction,
                 conditions: transaction.conditions.filter(each =>
                     !each.key.startsWith("unit/home/") || each.version === "absent"
                 ),
             })),
-    /** A lost reply is taken for a refusal, and nothing is read back. */
+    /** Treats a transaction without a reply as refused, so that its effect is not read back. */
     noReadBack: ports =>
-        withTable(ports, async transaction => {
+        replaceTransact(ports, async transaction => {
             const result = await ports.table.transact(transaction);
             return result.outcome === "unknown" ? { outcome: "refused" } : result;
         }),
-    /** Units of a dead session are taken while its orders may still be under way. */
+    /** Takes over the units of a dead session at once, while its start orders may still be in flight. */
     noTakeoverWait: ports => ({ ports, settings: { deathGraceMs: 0 } }),
-    /** Start orders never become void. */
+    /** Start orders never expire. */
     startsNeverVoid: ports =>
-        withWorkers(ports, {
+        replaceWorkerCalls(ports, {
             start: (address, order) => ports.workers.start(address, { ...order, startBeforeMs: Infinity }),
         }),
-    /** A start without an answer is taken for a refusal. */
+    /** Treats a start order without an answer as refused. */
     unknownStartIsRefused: ports =>
-        withWorkers(ports, {
+        replaceWorkerCalls(ports, {
             start: async (address, order) => {
                 const outcome = await ports.workers.start(address, order);
                 return outcome === "unknown" ? "refused" : outcome;
             },
         }),
-    /** What a worker runs already is not looked at. */
+    /** Removes the running attempts from the reports of workers. */
     noListing: ports =>
-        withWorkers(ports, {
+        replaceWorkerCalls(ports, {
             poll: async (address, poll) => ({ ...await ports.workers.poll(address, poll), running: [] }),
         }),
-    /** An owner believes for ever that its deputy will not take over. */
+    /** Extends a deputy's promise not to take over far beyond the time that the deputy granted. */
     endlessPromise: ports =>
-        withAnswers(ports, "gossip", answer => ({ ...answer, promiseMs: answer.promiseMs * endlessMs })),
-    /** A new holder of a home does not ask what runs of it. */
-    noRecovery: ports => withAnswers(ports, "attemptsOfHome", answer => ({ ...answer, attempts: [] })),
-} satisfies Readonly<Record<string, Breaker>>;
+        mapPeerAnswers(ports, "gossip", answer => ({ ...answer, promiseMs: answer.promiseMs * promiseFactor })),
+    /** A new owner of a home receives no attempts from the rack owners, so it does not recover those that run. */
+    noRecovery: ports => mapPeerAnswers(ports, "attemptsOfHome", answer => ({ ...answer, attempts: [] })),
+} satisfies Readonly<Record<string, BreakFunction>>;
 
-/** Name of a part that can be broken. */
-export type BrokenPart = keyof typeof breakers;
+/** Name of a part that can be broken; a value of the option `--broken`. */
+export type BrokenPart = keyof typeof breakFunctions;
 
-/** All parts that can be broken. */
-export const brokenParts = Object.keys(breakers) as readonly BrokenPart[];
+/** Names of all parts that can be broken. */
+export const brokenParts = Object.keys(breakFunctions) as readonly BrokenPart[];
 
 /**
- * Breaks a part of a node's surroundings; undefined breaks nothing.
+ * Returns the ports and setting overrides of a node with a part broken; `undefined` changes nothing.
  *
  * @example
  * const { ports, settings } = breakPart("noReadBack", healthyPorts);
  */
-export const breakPart = (part: BrokenPart | undefined, ports: NodePorts): Broken =>
-    part === undefined ? { ports, settings: {} } : breakers[part](ports);
+export const breakPart = (part: BrokenPart | undefined, ports: NodePorts): BrokenEnvironment =>
+    part === undefined ? { ports, settings: {} } : breakFunctions[part](ports);
--- a/packages/stand-ins/src/cell/cell.ts
+++ b/packages/stand-ins/src/cell/cell.ts
@@ -1,6 +1,7 @@
 /**
- * A small cell in one process on a fake clock: real nodes over the stand-ins, joined by a network that can be cut.
- * It exists to cause failures in tests; it models no load and no timing of real machines.
+ * A small cell simulated in one process on a fake clock: real nodes, simulated workers, upstreams and platform, and a
+ * network whose links can be cut or slowed. Tests use it to inject failures; it does not model the load or timing of
+ * real machines.
  */
 
 import {
@@ -28,9 +29,9 @@
 import { createWorker, type Execution, type WorkerStandIn } from "../worker.js";
 import { breakPart, type BrokenPart } from "./brokenParts.js";
 import { createFakeClock, type FakeClock } from "./fakeClock.js";
-import { createGate, type Gate } from "./gate.js";
+import { createSimulatedProcess, type SimulatedProcess } from "./gate.js";
 
-/** Shape of a cell; everything is spread evenly over the data centres. */
+/** Size and settings of a cell; every data centre gets the same number of machines. */
 export interface CellOptions {
     readonly seed: number;
     readonly dataCentres: readonly string[];
@@ -38,12 +39,15 @@
     readonly workersPerDataCentre: number;
     readonly workersPerRack: number;
     readonly upstreamsPerDataCentre: number;
+    /** Capacity of each worker. */
     readonly capacity: Resources;
+    /** Overrides of `defaultNodeSettings`, for every daemon. */
     readonly settings: Partial<NodeSettings>;
+    /** Overrides of `defaultPlatformLimits`. */
     readonly limits: Partial<PlatformLimits>;
-    /** One-way delay of a message is random up to this. */
+    /** Upper bound of the random one-way delay of a message. */
     readonly maxDelayMs: number;
-    /** A part that is broken on purpose, to show that a check finds it. */
+    /** Part of every node's environment that is broken on purpose; `undefined` for none. */
     readonly broken: BrokenPart | undefined;
 }
 
@@ -62,62 +66,73 @@
     broken: undefined,
 };
 
-/** A daemon of the cell. */
+/** A daemon of the cell: its node and the process that it runs in. */
 export interface CellDaemon {
     readonly vmId: string;
     readonly dataCentre: string;
     readonly node: Node;
-    readonly gate: Gate;
+    readonly gate: SimulatedProcess;
 }
 
-/** One end of a link: a VM's id, or the platform. */
-export type Place = string;
-/** The platform's end of a link. */
-export const platformPlace: Place = "platform";
+/** One end of a network link: the id of a VM, or `platformPlace`. */
+export type Endpoint = string;
+/** The platform as the end of a link. */
+export const platformPlace: Endpoint = "platform";
 
-/** Nodes, machines and the network between them, under a test's control. */
+/** Nodes, machines and the network between them, controlled by a test. */
 export interface Cell {
     readonly clock: FakeClock;
     readonly random: Random;
     readonly platform: Platform;
     daemons(): readonly CellDaemon[];
+    /** The daemon last started on a VM; fails with the kind `notFound`. */
     daemon(vmId: string): CellDaemon;
+    /** Fails with the kind `notFound`. */
     worker(workerId: string): WorkerStandIn;
+    /** All workers, including those that `killWorker` ended. */
     workers(): readonly WorkerStandIn[];
+    /** Fails with the kind `notFound`. */
     upstream(upstreamId: string): UpstreamStandIn;
-    /** Starts all daemons and waits until they are ready. */
+    /** Starts all daemons; resolves once they are ready and poll the workers, and fails with the kind `internal` after 30 s. */
     start(): Promise<void>;
-    /** Cuts the link between two places, both ways. */
-    cut(one: Place, other: Place): void;
-    heal(one: Place, other: Place): void;
-    /** Makes each message between two places late by this much; 0 heals it. */
-    slow(one: Place, other: Place, delayMs: number): void;
+    /** Drops every message between two endpoints, in both directions. */
+    cut(one: Endpoint, other: Endpoint): void;
+    /** Undoes `cut` for one link. */
+    heal(one: Endpoint, other: Endpoint): void;
+    /** Adds a delay to each message between two endpoints; 0 removes it. */
+    slow(one: Endpoint, other: Endpoint, delayMs: number): void;
+    /** Undoes every `cut` and `slow`. */
     healAll(): void;
+    /** Pauses a daemon's process, as SIGSTOP does. */
     pause(vmId: string): void;
     resume(vmId: string): void;
-    /** Kills the process; its VM is gone from the list where `vmGone` says so. */
+    /** Kills a daemon's process; with `vmGone` its VM also leaves the platform's list. */
     kill(vmId: string, vmGone: boolean): void;
-    /** A new process on the same VM, after a kill. */
+    /** Starts a new process on the same VM, after `kill`. */
     restart(vmId: string): void;
-    /** A new VM in a data centre. */
+    /** Adds an entry VM to a data centre and starts its daemon. */
     addDaemon(vmId: string, dataCentre: string): void;
+    /** Ends a worker with everything that it runs, and removes its VM from the platform's list. */
     killWorker(workerId: string): void;
+    /** Advances the fake clock. */
     advance(byMs: number): Promise<void>;
-    /** Advances until the condition holds; fails after the limit. */
-    until(what: string, limitMs: number, holds: () => boolean | Promise<boolean>): Promise<void>;
+    /** Advances the clock until the condition is true; fails with the kind `internal`, which names `what`, after the limit. */
+    until(what: string, limitMs: number, condition: () => boolean | Promise<boolean>): Promise<void>;
+    /** Runs of attempts as recorded by all workers. */
     executions(): readonly Execution[];
+    /** Number of starts, over all workers, that exceeded a worker's capacity. */
     overcommits(): number;
     /** Log lines of all daemons, newest last. */
-    readonly lines: readonly string[];
-    /** Sum of a counter over all daemons. */
+    readonly logLines: readonly string[];
+    /** Sum of a counter over all daemons, since the cell was created. */
     total(name: string): number;
 }
 
 const callTimeoutMs = 2_000;
 const stepMs = 25;
-const readyLimitMs = 30_000;
+const readyTimeoutMs = 30_000;
 
-const countingMeter = (totals: Map<string, number>): Meter => ({
+const createCountingMeter = (totals: Map<string, number>): Meter => ({
     count: (name, by = 1) => {
         totals.set(name, (totals.get(name) ?? 0) + by);
     },
@@ -127,7 +142,7 @@
 });
 
 /**
- * Makes a cell; nothing runs before `start`.
+ * Creates a cell; nothing runs before `start`.
  *
  * @example
  * const cell = createCell(defaultCellOptions);
@@ -137,66 +152,69 @@
     const clock = createFakeClock();
     const random = createSeededRandom(options.seed);
     const platform = createPlatform(clock, random, { ...defaultPlatformLimits, ...options.limits });
-    const cuts = new Set<string>();
+    const cutLinks = new Set<string>();
     const daemons = new Map<string, CellDaemon>();
     const workers = new Map<string, WorkerStandIn>();
     const deadWorkers = new Set<string>();
     const upstreams = new Map<string, UpstreamStandIn>();
     const vms = new Map<string, Vm>();
-    const lines: string[] = [];
-    const totals = new Map<string, number>();
+    const logLines: string[] = [];
+    const counterTotals = new Map<string, number>();
 
-    const linkOf = (one: Place, other: Place): string => [one, other].sort().join("|");
-    const isCut = (one: Place, other: Place): boolean => cuts.has(linkOf(one, other));
-    const slowed = new Map<string, number>();
-    const delay = (one: Place, other: Place): Promise<void> =>
-        sleep(clock, random.next() * options.maxDelayMs + (slowed.get(linkOf(one, other)) ?? 0));
+    const linkKey = (one: Endpoint, other: Endpoint): string => [one, other].sort().join("|");
+    const isCut = (one: Endpoint, other: Endpoint): boolean => cutLinks.has(linkKey(one, other));
+    const linkDelaysMs = new Map<string, number>();
+    const delay = (one: Endpoint, other: Endpoint): Promise<void> =>
+        sleep(clock, random.next() * options.maxDelayMs + (linkDelaysMs.get(linkKey(one, other)) ?? 0));
 
-    /** One call over the network: either way may take a while, or be cut; silence ends at the caller's limit. */
+    /**
+     * Sends one call over the network. The request and the answer are each delayed, and dropped while the link is cut;
+     * a call without an answer ends as `timeout`, and its effect may have happened or may still happen.
+     */
     const send = async <T>(
-        from: Gate,
-        fromId: string,
-        toId: Place,
+        caller: SimulatedProcess,
+        callerId: string,
+        toId: Endpoint,
         effect: () => Promise<T>,
         timeoutMs = callTimeoutMs,
-    ): Promise<T | "silence"> => {
-        await from.pass();
-        const answer = async (): Promise<T | "silence"> => {
-            await delay(fromId, toId);
-            if (isCut(fromId, toId)) {
+    ): Promise<T | "timeout"> => {
+        await caller.untilRunning();
+        const answer = async (): Promise<T | "timeout"> => {
+            await delay(callerId, toId);
+            if (isCut(callerId, toId)) {
                 return new Promise(() => {});
             }
             const result = await effect();
-            await delay(fromId, toId);
-            return isCut(fromId, toId) ? new Promise(() => {}) : result;
+            await delay(callerId, toId);
+            return isCut(callerId, toId) ? new Promise(() => {}) : result;
         };
-        const result = await Promise.race([answer(), sleep(clock, timeoutMs).then(() => "silence" as const)]);
-        await from.pass();
+        const result = await Promise.race([answer(), sleep(clock, timeoutMs).then(() => "timeout" as const)]);
+        await caller.untilRunning();
         return result;
     };
 
-    const reachable = async <T>(
-        from: Gate,
-        fromId: string,
-        toId: Place,
+    const callOrFail = async <T>(
+        caller: SimulatedProcess,
+        callerId: string,
+        toId: Endpoint,
         effect: () => Promise<T>,
         timeoutMs = callTimeoutMs,
     ): Promise<T> => {
-        const result = await send(from, fromId, toId, effect, timeoutMs);
-        return result === "silence" ? die("unavailable", `${toId} does not answer`) : result;
+        const result = await send(caller, callerId, toId, effect, timeoutMs);
+        return result === "timeout" ? die("unavailable", `${toId} does not answer`) : result;
     };
 
-    const tableFor = (gate: Gate, vmId: string): TableStore => ({
-        read: keys => reachable(gate, vmId, platformPlace, () => platform.table.read(keys)),
-        scan: prefix => reachable(gate, vmId, platformPlace, () => platform.table.scan(prefix)),
+    const tableFor = (daemonProcess: SimulatedProcess, vmId: string): TableStore => ({
+        read: keys => callOrFail(daemonProcess, vmId, platformPlace, () => platform.table.read(keys)),
+        scan: prefix => callOrFail(daemonProcess, vmId, platformPlace, () => platform.table.scan(prefix)),
         transact: async transaction => {
-            const result = await send(gate, vmId, platformPlace, () => platform.table.transact(transaction));
-            return result === "silence" ? { outcome: "unknown" } : result;
+            const result = await send(daemonProcess, vmId, platformPlace, () => platform.table.transact(transaction));
+            return result === "timeout" ? { outcome: "unknown" } : result;
         },
     });
 
-    const vmListFor = (gate: Gate, vmId: string): VmList => ({
-        list: () => reachable(gate, vmId, platformPlace, () => platform.vmList.list()),
+    const vmListFor = (daemonProcess: SimulatedProcess, vmId: string): VmList => ({
+        list: () => callOrFail(daemonProcess, vmId, platformPlace, () => platform.vmList.list()),
     });
 
     const workerAt = (workerId: string): WorkerStandIn => {
@@ -206,31 +224,31 @@
             : worker;
     };
 
-    const workersFor = (gate: Gate, vmId: string): WorkerPort => ({
+    const workersFor = (daemonProcess: SimulatedProcess, vmId: string): WorkerPort => ({
         start: async (address, order) => {
             try {
-                const result = await send(gate, vmId, address, async () => {
+                const result = await send(daemonProcess, vmId, address, async () => {
                     const worker = workerAt(address);
                     const outcome = worker.start(order);
                     return worker.faults().losesStartReply ? "unknown" as const : outcome;
                 });
-                return result === "silence" ? "unknown" : result;
+                return result === "timeout" ? "unknown" : result;
             }
             catch {
                 return "refused";
             }
         },
         poll: (address, poll) =>
-            reachable(gate, vmId, address, () => workerAt(address).poll(poll), poll.waitMs + callTimeoutMs),
-        stop: (address, orders) => reachable(gate, vmId, address, async () => workerAt(address).stop(orders)),
+            callOrFail(daemonProcess, vmId, address, () => workerAt(address).poll(poll), poll.waitMs + callTimeoutMs),
+        stop: (address, orders) => callOrFail(daemonProcess, vmId, address, async () => workerAt(address).stop(orders)),
         throttle: (address, attemptId, cpuMillis) =>
-            reachable(gate, vmId, address, async () => workerAt(address).throttle(attemptId, cpuMillis)),
+            callOrFail(daemonProcess, vmId, address, async () => workerAt(address).throttle(attemptId, cpuMillis)),
     });
 
-    const upstreamsFor = (gate: Gate, vmId: string): UpstreamPort => ({
+    const upstreamsFor = (daemonProcess: SimulatedProcess, vmId: string): UpstreamPort => ({
         status: address =>
-            reachable(
-                gate,
+            callOrFail(
+                daemonProcess,
                 vmId,
                 address,
                 async () =>
@@ -238,46 +256,46 @@
             ),
     });
 
-    const peersFor = (gate: Gate, vmId: string): PeerPort => ({
+    const peersFor = (daemonProcess: SimulatedProcess, vmId: string): PeerPort => ({
         call: async (address, name, input) => {
-            const result = await send(gate, vmId, address, async () => {
+            const result = await send(daemonProcess, vmId, address, async () => {
                 const peer = daemons.get(address);
                 if (peer === undefined || peer.gate.dead()) {
-                    return die("unavailable", `peer ${address} is out of reach`);
+                    return die("unavailable", `peer ${address} is not running`);
                 }
-                await peer.gate.pass();
+                await peer.gate.untilRunning();
                 const output = await peer.node.handlers[name](structuredClone(input) as never) as never;
-                await peer.gate.pass();
+                await peer.gate.untilRunning();
                 return structuredClone(output);
             });
-            return result === "silence" ? die("mayHaveRun", `peer ${address} did not answer`) : result;
+            return result === "timeout" ? die("mayHaveRun", `peer ${address} did not answer`) : result;
         },
     });
 
     const logFor = (vmId: string): Log => ({
         write: (level, event, fields) => {
-            lines.push(`${clock.monotonicMs().toFixed(1)} ${vmId} ${level} ${event} ${JSON.stringify(fields)}`);
+            logLines.push(`${clock.monotonicMs().toFixed(1)} ${vmId} ${level} ${event} ${JSON.stringify(fields)}`);
         },
     });
 
-    const launch = (vmId: string, dataCentre: string): void => {
-        const gate = createGate(clock);
+    const launchDaemon = (vmId: string, dataCentre: string): void => {
+        const daemonProcess = createSimulatedProcess(clock);
         const ports: NodePorts = {
-            table: tableFor(gate, vmId),
+            table: tableFor(daemonProcess, vmId),
             objects: platform.objects,
-            vmList: vmListFor(gate, vmId),
-            workers: workersFor(gate, vmId),
-            upstreams: upstreamsFor(gate, vmId),
-            peers: peersFor(gate, vmId),
-            clock: gate.clock,
+            vmList: vmListFor(daemonProcess, vmId),
+            workers: workersFor(daemonProcess, vmId),
+            upstreams: upstreamsFor(daemonProcess, vmId),
+            peers: peersFor(daemonProcess, vmId),
+            clock: daemonProcess.clock,
             random,
             log: logFor(vmId),
-            meter: countingMeter(totals),
+            meter: createCountingMeter(counterTotals),
         };
         const broken = breakPart(options.broken, ports);
         const settings = { ...defaultNodeSettings, ...options.settings, ...broken.settings, vmId, dataCentre };
         const node = createNode(settings, broken.ports);
-        daemons.set(vmId, { vmId, dataCentre, node, gate });
+        daemons.set(vmId, { vmId, dataCentre, node, gate: daemonProcess });
         void node.start(vmId);
     };
 
@@ -285,7 +303,7 @@
         vms.set(vm.vmId, vm);
     };
 
-    const addMachines = (dataCentre: string): void => {
+    const addWorkersAndUpstreams = (dataCentre: string): void => {
         for (let index = 0; index < options.workersPerDataCentre; index += 1) {
             const vmId = `${dataCentre}-w${index}`;
             const rack = `r${Math.floor(index / options.workersPerRack)}`;
@@ -315,75 +333,75 @@
         leaving: false,
     });
 
-    const find = (vmId: string): CellDaemon => daemons.get(vmId) ?? die("notFound", `there is no daemon ${vmId}`);
+    const findDaemon = (vmId: string): CellDaemon => daemons.get(vmId) ?? die("notFound", `there is no daemon ${vmId}`);
 
-    const until = async (what: string, limitMs: number, holds: () => boolean | Promise<boolean>): Promise<void> => {
+    const until = async (what: string, limitMs: number, condition: () => boolean | Promise<boolean>): Promise<void> => {
         for (let passedMs = 0; passedMs < limitMs; passedMs += stepMs) {
-            // Asked outside of the clock's own steps, a condition that calls a node needs time to pass for its answer.
-            const answer = Promise.resolve(holds());
+            // A condition that calls a node is answered only while the clock advances.
+            const holds = Promise.resolve(condition());
             await clock.advance(stepMs);
-            if (await Promise.race([answer, Promise.resolve(false)])) {
+            if (await Promise.race([holds, Promise.resolve(false)])) {
                 return;
             }
         }
-        die("internal", `${what}: not within ${limitMs} ms`);
+        die("internal", `${what}: condition not met within ${limitMs} ms`);
     };
 
     return {
         clock,
         random,
         platform,
-        lines,
+        logLines,
         daemons: () => [...daemons.values()],
-        daemon: find,
+        daemon: findDaemon,
         worker: workerId => workers.get(workerId) ?? die("notFound", `there is no worker ${workerId}`),
         workers: () => [...workers.values()],
         upstream: upstreamId => upstreams.get(upstreamId) ?? die("notFound", `there is no upstream ${upstreamId}`),
         start: async () => {
             const entries: Vm[] = [];
             for (const dataCentre of options.dataCentres) {
-                addMachines(dataCentre);
+                addWorkersAndUpstreams(dataCentre);
                 for (let index = 0; index < options.daemonsPerDataCentre; index += 1) {
                     entries.push(entryVm(`${dataCentre}-e${index}`, dataCentre));
                 }
             }
             platform.setVms([...vms.values(), ...entries]);
             for (const vm of entries) {
-                launch(vm.vmId, vm.dataCentre);
+                launchDaemon(vm.vmId, vm.dataCentre);
             }
             const workerTotal = options.workersPerDataCentre * options.dataCentres.length;
-            await until("the cell is ready", readyLimitMs, () => {
-                const live = [...daemons.values()].flatMap(each => each.node.ready() ? [each] : []);
-                const views = totals.get("workerPolls") ?? 0;
-                return live.length === entries.length && views >= workerTotal;
+            await until("the cell is ready", readyTimeoutMs, () => {
+                const readyDaemons = [...daemons.values()].flatMap(each => each.node.ready() ? [each] : []);
+                const polls = counterTotals.get("workerPolls") ?? 0;
+                return readyDaemons.length === entries.length && polls >= workerTotal;
             });
             await clock.advance(1_000);
         },
         cut: (one, other) => {
-            cuts.add(linkOf(one, other));
+            cutLinks.add(linkKey(one, other));
         },
         heal: (one, other) => {
-            cuts.delete(linkOf(one, other));
+            cutLinks.delete(linkKey(one, other));
         },
         slow: (one, other, delayMs) => {
-            slowed.set(linkOf(one, other), delayMs);
+            linkDelaysMs.set(linkKey(one, other), delayMs);
         },
         healAll: () => {
-            cuts.clear();
-            slowed.clear();
+            cutLinks.clear();
+            linkDelaysMs.clear();
         },
-        pause: vmId => find(vmId).gate.pause(),
-        resume: vmId => find(vmId).gate.resume(),
+        pause: vmId => findDaemon(vmId).gate.pause(),
+        resume: vmId => findDaemon(vmId).gate.resume(),
         kill: (vmId, vmGone) => {
-            find(vmId).gate.kill();
+            findDaemon(vmId).gate.kill();
             if (vmGone) {
                 platform.removeVms([vmId]);
             }
         },
-        restart: vmId => launch(vmId, find(vmId).dataCentre),
+        restart: vmId => launchDaemon(vmId, findDaemon(vmId).dataCentre),
         addDaemon: (vmId, dataCentre) => {
             platform.setVms([entryVm(vmId, dataCentre)]);
-            launch(vmId, dataCentre);
+            launchDaemon(vmId, dataCentre);
         },
         killWorker: workerId => {
             deadWorkers.add(workerId);
@@ -394,6 +412,6 @@
         until,
         executions: () => [...workers.values()].flatMap(worker => worker.executions()),
         overcommits: () => [...workers.values()].reduce((sum, worker) => sum + worker.overcommits(), 0),
-        total: name => totals.get(name) ?? 0,
+        total: name => counterTotals.get(name) ?? 0,
     };
 };
--- a/packages/stand-ins/src/cell/fakeClock.ts
+++ b/packages/stand-ins/src/cell/fakeClock.ts
@@ -1,32 +1,37 @@
-/** A clock that stands still until it is moved, for tests whose verdict must not depend on the machine. */
+/** A clock that advances only on request, so that the results of tests do not depend on the speed of the machine. */
 
 import type { Clock } from "puffinarch";
 
-/** Time that a test moves. */
+/** A clock that a test advances. */
 export interface FakeClock extends Clock {
-    /** Moves the time, running every timer that falls due in order, with all that follows from it. */
+    /**
+     * Advances the time and runs every timer that becomes due, in order of due time and then of creation. Pending promise
+     * callbacks run before the first timer and after each one.
+     */
     advance(byMs: number): Promise<void>;
 }
 
 interface Timer {
+    /** Due time, monotonic. */
     readonly atMs: number;
+    /** Number of the timer in order of creation; breaks ties of `atMs`. */
     readonly order: number;
     readonly run: () => void;
     cancelled: boolean;
 }
 
-const startOfTimeMs = 1_700_000_000_000;
+const wallClockStartMs = 1_700_000_000_000;
 
-/** Lets everything that waits on promises alone go as far as it can. */
-const settle = (): Promise<void> =>
+/** Resolves after all pending promise callbacks have run. */
+const flushPromises = (): Promise<void> =>
     new Promise(resolve => {
         setImmediate(resolve);
     });
 
-const before = (left: Timer, right: Timer): boolean =>
+const isEarlier = (left: Timer, right: Timer): boolean =>
     left.atMs < right.atMs || (left.atMs === right.atMs && left.order < right.order);
 
-/** A binary heap of timers, earliest first. */
+/** Creates a binary heap of timers, earliest first. */
 const createTimerHeap = () => {
     const heap: Timer[] = [];
     const at = (index: number): Timer => heap[index] as Timer;
@@ -35,19 +40,19 @@
     };
     const push = (timer: Timer): void => {
         let index = heap.push(timer) - 1;
-        for (let parent = (index - 1) >> 1; index > 0 && before(at(index), at(parent)); parent = (index - 1) >> 1) {
+        for (let parent = (index - 1) >> 1; index > 0 && isEarlier(at(index), at(parent)); parent = (index - 1) >> 1) {
             swap(index, parent);
             index = parent;
         }
     };
-    const sink = (): void => {
+    const siftDown = (): void => {
         let index = 0;
         for (;;) {
             const left = 2 * index + 1;
             const right = left + 1;
             let first = index;
-            first = left < heap.length && before(at(left), at(first)) ? left : first;
-            first = right < heap.length && before(at(right), at(first)) ? right : first;
+            first = left < heap.length && isEarlier(at(left), at(first)) ? left : first;
+            first = right < heap.length && isEarlier(at(right), at(first)) ? right : first;
             if (first === index) {
                 return;
             }
@@ -60,7 +65,7 @@
         const last = heap.pop();
         if (heap.length > 0 && last !== undefined) {
             heap[0] = last;
-            sink();
+            siftDown();
         }
         return top;
     };
@@ -68,7 +73,7 @@
 };
 
 /**
- * Makes a clock at a fixed time.
+ * Creates a clock at monotonic time 0 and a fixed wall time.
  *
  * @example
  * const clock = createFakeClock();
@@ -79,7 +84,7 @@
     let nowMs = 0;
     let order = 0;
     return {
-        nowMs: () => startOfTimeMs + nowMs,
+        nowMs: () => wallClockStartMs + nowMs,
         monotonicMs: () => nowMs,
         setTimer: (delayMs, run) => {
             order += 1;
@@ -91,7 +96,7 @@
         },
         advance: async byMs => {
             const untilMs = nowMs + byMs;
-            await settle();
+            await flushPromises();
             for (let next = timers.peek(); next !== undefined && next.atMs <= untilMs; next = timers.peek()) {
                 timers.pop();
                 if (next.cancelled) {
@@ -99,7 +104,7 @@
                 }
                 nowMs = Math.max(nowMs, next.atMs);
                 next.run();
-                await settle();
+                await flushPromises();
             }
             nowMs = untilMs;
         },
--- a/packages/stand-ins/src/cell/gate.ts
+++ b/packages/stand-ins/src/cell/gate.ts
@@ -1,38 +1,39 @@
-/** A process that can be paused, resumed and killed: while it is paused, nothing of it moves, and time goes on. */
+/** A simulated process that can be paused, resumed and killed. While it is paused its code does not run, but the clock continues. */
 
 import type { Clock } from "puffinarch";
 
-/** Pauses, resumes and kills one process. */
-export interface Gate {
+/** Controls whether the code of one process runs. */
+export interface SimulatedProcess {
     pause(): void;
     resume(): void;
+    /** Ends the process for good; its pending callbacks never run. */
     kill(): void;
     paused(): boolean;
     dead(): boolean;
-    /** Resolves at once, on resumption, or never. */
-    pass(): Promise<void>;
-    /** The process's view of the clock: its timers wait while it is paused. */
+    /** Resolves at once while the process runs, on `resume` while it is paused, and never once it is dead. */
+    untilRunning(): Promise<void>;
+    /** The clock as the process sees it; timers that become due while the process is paused run on `resume`. */
     readonly clock: Clock;
 }
 
 /**
- * Makes a gate that is open.
+ * Creates a process that runs.
  *
  * @example
- * const gate = createGate(clock);
- * gate.pause();
+ * const daemonProcess = createSimulatedProcess(clock);
+ * daemonProcess.pause();
  */
-export const createGate = (clock: Clock): Gate => {
+export const createSimulatedProcess = (clock: Clock): SimulatedProcess => {
     let paused = false;
     let dead = false;
-    let waiting: (() => void)[] = [];
+    let pending: (() => void)[] = [];
 
-    const whenOpen = (run: () => void): void => {
+    const runOrDefer = (run: () => void): void => {
         if (dead) {
             return;
         }
         if (paused) {
-            waiting.push(run);
+            pending.push(run);
             return;
         }
         run();
@@ -44,23 +45,23 @@
         },
         resume: () => {
             paused = false;
-            const runs = waiting;
-            waiting = [];
-            for (const run of runs) {
-                whenOpen(run);
+            const callbacks = pending;
+            pending = [];
+            for (const run of callbacks) {
+                runOrDefer(run);
             }
         },
         kill: () => {
             dead = true;
-            waiting = [];
+            pending = [];
         },
         paused: () => paused,
         dead: () => dead,
-        pass: () => new Promise(resolve => whenOpen(resolve)),
+        untilRunning: () => new Promise(resolve => runOrDefer(resolve)),
         clock: {
             nowMs: clock.nowMs,
             monotonicMs: clock.monotonicMs,
-            setTimer: (delayMs, run) => clock.setTimer(delayMs, () => whenOpen(run)),
+            setTimer: (delayMs, run) => clock.setTimer(delayMs, () => runOrDefer(run)),
         },
     };
 };
