--- a/packages/stand-ins/src/demo/balancer.ts
+++ b/packages/stand-ins/src/demo/balancer.ts
@@ -1,11 +1,11 @@
-/** Stand-in for the platform's balancer: it sends callers to the daemons that say they are ready, in turn. */
+/** Simulated load balancer of the platform: polls `/readyz` of every daemon and assigns callers to the ready ones, round-robin. */
 
 import { type Clock, type Loop, startLoop } from "puffinarch";
 import { request } from "undici";
 
-/** Chooses a daemon for a caller. */
+/** Selects a daemon for each call. */
 export interface Balancer {
-    /** A ready daemon's address, other than the ones tried already where there is one. */
+    /** Address of a ready daemon, one not yet tried where there is one; undefined where none is ready. */
     next(tried: readonly string[]): string | undefined;
     stop(): Promise<void>;
 }
@@ -25,14 +25,14 @@
 };
 
 /**
- * Makes a balancer over daemons.
+ * Creates a balancer over the daemons at these addresses.
  *
  * @example
  * const address = balancer.next([]);
  */
 export const createBalancer = (clock: Clock, addresses: readonly string[]): Balancer => {
     let ready: readonly string[] = [];
-    let turn = 0;
+    let nextIndex = 0;
     const loops: Loop[] = addresses.map(address =>
         startLoop({
             clock,
@@ -40,17 +40,17 @@
             name: address,
             intervalMs: checkIntervalMs,
             run: async () => {
-                const now = await isReady(address);
-                ready = now ? [...new Set([...ready, address])] : ready.filter(each => each !== address);
+                const isReadyNow = await isReady(address);
+                ready = isReadyNow ? [...new Set([...ready, address])] : ready.filter(each => each !== address);
             },
         })
     );
     return {
         next: tried => {
-            const fresh = ready.filter(address => !tried.includes(address));
-            const choices = fresh.length > 0 ? fresh : ready;
-            turn += 1;
-            return choices[turn % Math.max(1, choices.length)];
+            const untried = ready.filter(address => !tried.includes(address));
+            const candidates = untried.length > 0 ? untried : ready;
+            nextIndex += 1;
+            return candidates[nextIndex % Math.max(1, candidates.length)];
         },
         stop: async () => {
             await Promise.all(loops.map(loop => loop.stop()));
--- a/packages/stand-ins/src/demo/callers.ts
+++ b/packages/stand-ins/src/demo/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of the demo: they submit jobs and send requests, resend what was not answered, and note every answer. */
+/** Callers of the demo: they submit jobs and send requests, resend the ones without an answer, and record every answer. */
 
 import { Code, ConnectError, createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
@@ -8,35 +8,44 @@
 import type { Balancer } from "./balancer.js";
 import type { Deployment } from "./deployments.js";
 
-/** What a caller knows of one job. */
-export interface JobNote {
+/** Record of one accepted job, kept by its caller. */
+export interface JobRecord {
     readonly jobId: string;
     readonly tasks: number;
     readonly atMostOnce: boolean;
+    /** Wall time of the first submission, before any resend. */
     readonly acceptedAtMs: number;
+    /** Final states by task id, as far as they were collected. */
     readonly finalStates: Map<string, TaskState>;
+    /** Completed tasks whose result is not their own. */
     wrongResults: number;
 }
 
-/** What a caller knows of one request. */
-export interface RequestNote {
+/** Record of one request, kept by its caller; times are wall clock. */
+export interface RequestRecord {
     readonly requestId: string;
     readonly idempotent: boolean;
     readonly sentAtMs: number;
+    /** Last value of the header `x-puffinarch-answer`; undefined where no answer came. */
     answer: string | undefined;
+    /** When the caller stopped resending. */
     answeredAtMs: number;
+    /** True where the answer belongs to another request. */
     misdelivered: boolean;
+    /** Number of sends after the first; -1 before the first. */
     resends: number;
 }
 
-/** What callers did and were told. */
+/** Sends work and holds the records of it. */
 export interface Callers {
-    readonly jobs: readonly JobNote[];
-    readonly requests: readonly RequestNote[];
-    submitOne(): Promise<void>;
-    sendOne(): Promise<void>;
-    /** Asks for every task's final state until all have one or the time is up. */
-    collect(giveUpAtMs: number): Promise<void>;
+    readonly jobs: readonly JobRecord[];
+    readonly requests: readonly RequestRecord[];
+    /** Submits the next job, with resends; a job that no daemon accepts is not recorded. */
+    submitJob(): Promise<void>;
+    /** Sends the next request, with resends where they are safe. */
+    sendRequest(): Promise<void>;
+    /** Reads the final states of all tasks, until every task has one or the monotonic deadline has passed. */
+    collectFinalStates(deadlineMs: number): Promise<void>;
     close(): Promise<void>;
 }
 
@@ -65,14 +74,14 @@
 const nonIdempotentShare = 0.3;
 
 /**
- * Makes the callers of one deployment.
+ * Creates the callers of one deployment.
  *
  * @example
- * await callers.submitOne();
+ * await callers.submitJob();
  */
 export const createCallers = (deployment: Deployment, balancer: Balancer, clock: Clock, random: Random): Callers => {
-    const jobs: JobNote[] = [];
-    const requests: RequestNote[] = [];
+    const jobs: JobRecord[] = [];
+    const requests: RequestRecord[] = [];
     const agent = new Agent({ connections: 32 });
     let jobCount = 0;
     let requestCount = 0;
@@ -83,7 +92,7 @@
             createConnectTransport({ baseUrl: address, httpVersion: "1.1", defaultTimeoutMs: tryTimeoutMs }),
         );
 
-    const submitOne = async (): Promise<void> => {
+    const submitJob = async (): Promise<void> => {
         jobCount += 1;
         const kind = jobKinds[jobCount % jobKinds.length];
         const team = deployment.teams[jobCount % deployment.teams.length] ?? "";
@@ -102,7 +111,7 @@
         };
         const tried: string[] = [];
         const firstSentAtMs = clock.nowMs();
-        for (let left = maxTries; left > 0; left -= 1) {
+        for (let triesLeft = maxTries; triesLeft > 0; triesLeft -= 1) {
             const address = balancer.next(tried);
             if (address === undefined) {
                 await sleep(clock, retryPauseMs);
@@ -111,7 +120,7 @@
             tried.push(address);
             try {
                 await clientOf(address).submitJob({ spec });
-                const note = {
+                const record = {
                     jobId: spec.jobId,
                     tasks,
                     atMostOnce,
@@ -119,7 +128,7 @@
                     finalStates: new Map(),
                     wrongResults: 0,
                 };
-                jobs.push(note);
+                jobs.push(record);
                 return;
             }
             catch (error) {
@@ -131,34 +140,34 @@
         }
     };
 
-    /** One try; undefined where no answer came. */
-    const tryRequest = async (address: string, note: RequestNote): Promise<string | undefined> => {
+    /** Sends a request once; undefined where no answer came. */
+    const tryRequest = async (address: string, record: RequestRecord): Promise<string | undefined> => {
         try {
             const answer = await request(`${address}/services/${deployment.service}/plan-check`, {
                 method: "POST",
                 dispatcher: agent,
                 headers: {
                     "content-type": "application/json",
-                    "x-request-id": note.requestId,
-                    "x-idempotent": String(note.idempotent),
+                    "x-request-id": record.requestId,
+                    "x-idempotent": String(record.idempotent),
                     "x-timeout-ms": String(requestTimeoutMs),
                 },
                 body: JSON.stringify({ workMs: 5 + Math.floor(random.next() * 40), answerBytes: 200 }),
                 signal: AbortSignal.timeout(tryTimeoutMs),
             });
             const body = await answer.body.json() as { readonly requestId?: string; };
-            const said = String(answer.headers["x-puffinarch-answer"]);
-            note.misdelivered ||= said === "completed" && body.requestId !== note.requestId;
-            return said;
+            const outcome = String(answer.headers["x-puffinarch-answer"]);
+            record.misdelivered ||= outcome === "completed" && body.requestId !== record.requestId;
+            return outcome;
         }
         catch {
             return undefined;
         }
     };
 
-    const sendOne = async (): Promise<void> => {
+    const sendRequest = async (): Promise<void> => {
         requestCount += 1;
-        const note: RequestNote = {
+        const record: RequestRecord = {
             requestId: `${deployment.name}-r${requestCount}`,
             idempotent: random.next() >= nonIdempotentShare,
             sentAtMs: clock.nowMs(),
@@ -167,56 +176,56 @@
             misdelivered: false,
             resends: -1,
         };
-        requests.push(note);
+        requests.push(record);
         const tried: string[] = [];
-        for (let left = maxTries; left > 0; left -= 1) {
+        for (let triesLeft = maxTries; triesLeft > 0; triesLeft -= 1) {
             const address = balancer.next(tried);
             if (address !== undefined) {
                 tried.push(address);
-                note.resends += 1;
-                const said = await tryRequest(address, note);
-                note.answer = said ?? note.answer;
-                const mayResend = said === undefined || said === "notRun" || said === "overloaded"
-                    || (said === "mayHaveRun" && note.idempotent);
+                record.resends += 1;
+                const outcome = await tryRequest(address, record);
+                record.answer = outcome ?? record.answer;
+                const mayResend = outcome === undefined || outcome === "notRun" || outcome === "overloaded"
+                    || (outcome === "mayHaveRun" && record.idempotent);
                 if (!mayResend) {
                     break;
                 }
             }
             await sleep(clock, retryPauseMs);
         }
-        note.answeredAtMs = clock.nowMs();
+        record.answeredAtMs = clock.nowMs();
     };
 
-    const collectJob = async (note: JobNote): Promise<void> => {
+    const collectJobStates = async (record: JobRecord): Promise<void> => {
         const address = balancer.next([]);
         if (address === undefined) {
             return;
         }
         const client = clientOf(address);
-        const { job } = await client.getJob({ jobId: note.jobId });
+        const { job } = await client.getJob({ jobId: record.jobId });
         if (job?.ended !== true) {
             return;
         }
-        const { tasks } = await client.listTasks({ jobId: note.jobId, pageSize: 1_000 });
+        const { tasks } = await client.listTasks({ jobId: record.jobId, pageSize: 1_000 });
         for (const task of tasks) {
-            note.finalStates.set(task.taskId, task.state);
+            record.finalStates.set(task.taskId, task.state);
             if (task.state === TaskState.COMPLETED) {
                 const { result } = await client.getResult({ taskId: task.taskId });
-                note.wrongResults += result.startsWith(`${task.taskId} done`) ? 0 : 1;
+                record.wrongResults += result.startsWith(`${task.taskId} done`) ? 0 : 1;
             }
         }
     };
 
-    const collect = async (giveUpAtMs: number): Promise<void> => {
+    const collectFinalStates = async (deadlineMs: number): Promise<void> => {
         for (;;) {
-            const open = jobs.filter(note => note.finalStates.size < note.tasks);
-            if (open.length === 0 || clock.monotonicMs() > giveUpAtMs) {
+            const unfinished = jobs.filter(record => record.finalStates.size < record.tasks);
+            if (unfinished.length === 0 || clock.monotonicMs() > deadlineMs) {
                 return;
             }
-            await Promise.all(open.map(note => collectJob(note).catch(() => undefined)));
+            await Promise.all(unfinished.map(record => collectJobStates(record).catch(() => undefined)));
             await sleep(clock, retryPauseMs);
         }
     };
 
-    return { jobs, requests, submitOne, sendOne, collect, close: () => agent.close() };
+    return { jobs, requests, submitJob, sendRequest, collectFinalStates, close: () => agent.close() };
 };
--- a/packages/stand-ins/src/demo/deployments.ts
+++ b/packages/stand-ins/src/demo/deployments.ts
@@ -1,8 +1,8 @@
-/** The two deployments of the demo, at their sizes of today. */
+/** The two deployments that the demo simulates, in their current sizes. */
 
 import type { Resources, Vm } from "puffinarch";
 
-/** One user's cell. */
+/** Size of one user's cell. */
 export interface Deployment {
     readonly name: string;
     readonly service: string;
@@ -15,7 +15,7 @@
     readonly teams: readonly string[];
 }
 
-/** The consortium's cell and Akuafo's cell. */
+/** `bajio` is the consortium's cell, `accra` is Akuafo's. */
 export const deployments: readonly Deployment[] = [
     {
         name: "bajio",
@@ -41,40 +41,40 @@
     },
 ];
 
-const placeOf = (deployment: Deployment, index: number): string =>
+const dataCentreOf = (deployment: Deployment, index: number): string =>
     deployment.dataCentres[index % deployment.dataCentres.length] ?? "";
 
 /**
- * Lists the workers of a deployment, spread over its data centres and racks.
+ * Lists the workers of a deployment, spread over its data centres and racks, with addresses below a base URL.
  *
  * @example
  * workerVms(deployments[0], "http://127.0.0.1:7001").length; // 30
  */
 export const workerVms = (deployment: Deployment, address: string): readonly Vm[] =>
     Array.from({ length: deployment.workers }, (_none, index) => {
-        const dataCentre = placeOf(deployment, index);
-        const inPlace = Math.floor(index / deployment.dataCentres.length);
-        const vmId = `${dataCentre}-w${inPlace}`;
+        const dataCentre = dataCentreOf(deployment, index);
+        const indexInDataCentre = Math.floor(index / deployment.dataCentres.length);
+        const vmId = `${dataCentre}-w${indexInDataCentre}`;
         return {
             vmId,
             role: "worker",
             dataCentre,
             address: `${address}/workers/${vmId}`,
             leaving: false,
-            rack: `r${Math.floor(inPlace / deployment.workersPerRack)}`,
+            rack: `r${Math.floor(indexInDataCentre / deployment.workersPerRack)}`,
             capacity: deployment.capacity,
         };
     });
 
 /**
- * Lists the upstreams of a deployment.
+ * Lists one upstream for each address, spread over the deployment's data centres.
  *
  * @example
  * upstreamVms(deployments[0], ["http://127.0.0.1:7002"]).length; // 1
  */
 export const upstreamVms = (deployment: Deployment, addresses: readonly string[]): readonly Vm[] =>
     addresses.map((address, index) => {
-        const dataCentre = placeOf(deployment, index);
+        const dataCentre = dataCentreOf(deployment, index);
         return {
             vmId: `${dataCentre}-u${Math.floor(index / deployment.dataCentres.length)}`,
             role: "upstream",
@@ -86,14 +86,14 @@
     });
 
 /**
- * Lists the entry VMs of a deployment.
+ * Lists the entry VMs of a deployment; their addresses are empty, as the daemons choose their ports.
  *
  * @example
  * entryVms(deployments[0]).length; // 7
  */
 export const entryVms = (deployment: Deployment): readonly Vm[] =>
     Array.from({ length: deployment.daemons }, (_none, index) => {
-        const dataCentre = placeOf(deployment, index);
+        const dataCentre = dataCentreOf(deployment, index);
         return {
             vmId: `${dataCentre}-entry${Math.floor(index / deployment.dataCentres.length)}`,
             role: "entry",
--- a/packages/stand-ins/src/demo/evidence.ts
+++ b/packages/stand-ins/src/demo/evidence.ts
@@ -1,45 +1,55 @@
-/** Promises checked against what the stand-ins saw; the daemons' word counts for nothing here. */
+/** Checks the scheduler's guarantees against the records of the stand-ins and callers; the daemons' own metrics are not used. */
 
 import { TaskState } from "@puffinarch/schema";
 import type { PlatformEvidence } from "../platform.js";
 import { groupBy, tasksRunTwice } from "../runTwice.js";
 import type { RequestRun, UpstreamEvidence } from "../upstream.js";
 import type { Execution } from "../worker.js";
-import type { JobNote, RequestNote } from "./callers.js";
+import type { JobRecord, RequestRecord } from "./callers.js";
 
-/** What was seen in one deployment. */
-export interface Seen {
-    readonly jobs: readonly JobNote[];
-    readonly requests: readonly RequestNote[];
+/** Records of one deployment. */
+export interface Observations {
+    readonly jobs: readonly JobRecord[];
+    readonly requests: readonly RequestRecord[];
     readonly executions: readonly Execution[];
     readonly overcommits: number;
     readonly upstreams: readonly UpstreamEvidence[];
     readonly platform: PlatformEvidence;
 }
 
-/** The demo's figures; the ones that must be 0 are listed in `breachCounters`. */
-export interface Verdict {
+/** Figures that the demo prints; those in `violationCounters` must be 0. */
+export interface DemoFigures {
     readonly tasksAccepted: number;
+    /** Tasks that completed on a worker, whatever state was reported. */
     readonly tasksCompleted: number;
+    /** Tasks reported as `MAY_HAVE_RUN` that completed on no worker. */
     readonly tasksMayHaveRun: number;
+    /** Tasks of accepted jobs for which no daemon returned a final state. */
     readonly tasksUnanswered: number;
+    /** Tasks that ran twice at a time, and at-most-once tasks that ran more than once. */
     readonly tasksRunTwice: number;
+    /** Completed tasks whose result is not their own. */
     readonly wrongResults: number;
+    /** Starts that exceeded the capacity of a worker. */
     readonly overcommits: number;
     readonly requestsSent: number;
     readonly requestsAnswered: number;
     readonly requestsCompleted: number;
     readonly requestsMayHaveRun: number;
     readonly requestsNotRun: number;
+    /** Requests that received the answer of another request. */
     readonly requestsMisdelivered: number;
     readonly nonIdempotentRunTwice: number;
+    /** Requests that an upstream ran although they were answered as not run. */
     readonly falseNotRun: number;
     readonly slotViolations: number;
     readonly connectionViolations: number;
+    /** Requests that started on an upstream more than `leavingGraceMs` after it began to leave. */
     readonly lateWorkToLeaving: number;
     readonly tableWrites: number;
     readonly tableReads: number;
     readonly tableWritesPerTask: number;
+    /** Wait of a task, from the first submission of its job to its first start. */
     readonly waitP50Ms: number;
     readonly waitP99Ms: number;
     readonly requestP50Ms: number;
@@ -47,7 +57,7 @@
 }
 
 /** Figures that must be 0. */
-export const breachCounters = [
+export const violationCounters = [
     "tasksUnanswered",
     "tasksRunTwice",
     "wrongResults",
@@ -58,8 +68,9 @@
     "slotViolations",
     "connectionViolations",
     "lateWorkToLeaving",
-] as const satisfies readonly (keyof Verdict)[];
+] as const satisfies readonly (keyof DemoFigures)[];
 
+/** Daemons must stop sending requests to an upstream within this time after it begins to leave. */
 const leavingGraceMs = 3_000;
 
 const percentile = (values: readonly number[], percent: number): number => {
@@ -67,16 +78,19 @@
     return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * percent / 100))] ?? 0;
 };
 
-const waits = (jobs: readonly JobNote[], byTask: ReadonlyMap<string, readonly Execution[]>): readonly number[] =>
+const taskWaitsMs = (
+    jobs: readonly JobRecord[],
+    byTask: ReadonlyMap<string, readonly Execution[]>,
+): readonly number[] =>
     jobs.flatMap(job =>
         Array.from({ length: job.tasks }, (_none, index) => byTask.get(`${job.jobId}/${index}`)).flatMap(executions =>
             executions === undefined ? [] : [Math.min(...executions.map(each => each.startedAtMs)) - job.acceptedAtMs]
         )
     );
 
-const isNotRun = (note: RequestNote): boolean => note.answer === "notRun" || note.answer === "overloaded";
+const isNotRun = (record: RequestRecord): boolean => record.answer === "notRun" || record.answer === "overloaded";
 
-const lateWork = (upstream: UpstreamEvidence): number =>
+const countLateRuns = (upstream: UpstreamEvidence): number =>
     upstream.leavingSinceMs === undefined
         ? 0
         : upstream.runs.filter(run => run.startedAtMs > (upstream.leavingSinceMs ?? 0) + leavingGraceMs).length;
@@ -84,68 +98,70 @@
 const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
 
 /**
- * Counts what held and what broke.
+ * Computes the demo's figures from the records of one deployment.
  *
  * @example
- * const verdict = judge(seen);
+ * const figures = computeFigures(observations);
  */
-export const judge = ({ jobs, requests, executions, overcommits, upstreams, platform }: Seen): Verdict => {
+export const computeFigures = (
+    { jobs, requests, executions, overcommits, upstreams, platform }: Observations,
+): DemoFigures => {
     const byTask = groupBy(executions, execution => execution.taskId);
-    const onceOnly = new Set(jobs.filter(job => job.atMostOnce).map(job => job.jobId));
+    const atMostOnceJobs = new Set(jobs.filter(job => job.atMostOnce).map(job => job.jobId));
     const runs = groupBy(upstreams.flatMap(upstream => upstream.runs), (run: RequestRun) => run.requestId);
-    const runsOf = (note: RequestNote): number => runs.get(note.requestId)?.length ?? 0;
+    const runsOf = (record: RequestRecord): number => runs.get(record.requestId)?.length ?? 0;
     const accepted = sum(jobs.map(job => job.tasks));
     const completedTasks = new Set(executions.filter(each => each.outcome === "completed").map(each => each.taskId));
     const states = jobs.flatMap(job => [...job.finalStates]);
     const mayHaveRun =
         states.filter(([taskId, state]) => state === TaskState.MAY_HAVE_RUN && !completedTasks.has(taskId)).length;
-    const waited = waits(jobs, byTask);
-    const answered = requests.filter(note => note.answer !== undefined);
-    const latencies = answered.map(note => note.answeredAtMs - note.sentAtMs);
+    const waitsMs = taskWaitsMs(jobs, byTask);
+    const answered = requests.filter(record => record.answer !== undefined);
+    const latenciesMs = answered.map(record => record.answeredAtMs - record.sentAtMs);
     return {
         tasksAccepted: accepted,
         tasksCompleted: completedTasks.size,
         tasksMayHaveRun: mayHaveRun,
         tasksUnanswered: accepted - states.length,
-        tasksRunTwice: tasksRunTwice(executions, onceOnly).length,
+        tasksRunTwice: tasksRunTwice(executions, atMostOnceJobs).length,
         wrongResults: sum(jobs.map(job => job.wrongResults)),
         overcommits,
         requestsSent: requests.length,
         requestsAnswered: answered.length,
-        requestsCompleted: answered.filter(note => note.answer === "completed").length,
-        requestsMayHaveRun: answered.filter(note => note.answer === "mayHaveRun").length,
+        requestsCompleted: answered.filter(record => record.answer === "completed").length,
+        requestsMayHaveRun: answered.filter(record => record.answer === "mayHaveRun").length,
         requestsNotRun: answered.filter(isNotRun).length,
-        requestsMisdelivered: requests.filter(note => note.misdelivered).length,
-        nonIdempotentRunTwice: requests.filter(note => !note.idempotent && runsOf(note) > 1).length,
-        falseNotRun: requests.filter(note => isNotRun(note) && runsOf(note) > 0).length,
+        requestsMisdelivered: requests.filter(record => record.misdelivered).length,
+        nonIdempotentRunTwice: requests.filter(record => !record.idempotent && runsOf(record) > 1).length,
+        falseNotRun: requests.filter(record => isNotRun(record) && runsOf(record) > 0).length,
         slotViolations: sum(upstreams.map(each => each.slotViolations)),
         connectionViolations: sum(upstreams.map(each => each.connectionViolations)),
-        lateWorkToLeaving: sum(upstreams.map(lateWork)),
+        lateWorkToLeaving: sum(upstreams.map(countLateRuns)),
         tableWrites: platform.writes,
         tableReads: platform.reads,
         tableWritesPerTask: accepted === 0 ? 0 : platform.writes / accepted,
-        waitP50Ms: percentile(waited, 50),
-        waitP99Ms: percentile(waited, 99),
-        requestP50Ms: percentile(latencies, 50),
-        requestP99Ms: percentile(latencies, 99),
+        waitP50Ms: percentile(waitsMs, 50),
+        waitP99Ms: percentile(waitsMs, 99),
+        requestP50Ms: percentile(latenciesMs, 50),
+        requestP99Ms: percentile(latenciesMs, 99),
     };
 };
 
 /**
- * Lists the promises that broke; empty where all held.
+ * Lists the violated guarantees; empty where all held.
  *
  * @example
- * breaches(verdict); // []
+ * listViolations(figures); // []
  */
-export const breaches = (verdict: Verdict): readonly string[] => {
-    const broken: string[] = breachCounters.filter(name => verdict[name] !== 0).map(name =>
-        `${name} is ${verdict[name]}`
+export const listViolations = (figures: DemoFigures): readonly string[] => {
+    const violations: string[] = violationCounters.filter(name => figures[name] !== 0).map(name =>
+        `${name} is ${figures[name]}`
     );
-    if (verdict.tasksCompleted + verdict.tasksMayHaveRun !== verdict.tasksAccepted) {
-        broken.push("tasksCompleted + tasksMayHaveRun differs from tasksAccepted");
+    if (figures.tasksCompleted + figures.tasksMayHaveRun !== figures.tasksAccepted) {
+        violations.push("tasksCompleted + tasksMayHaveRun differs from tasksAccepted");
     }
-    if (verdict.requestsAnswered !== verdict.requestsSent) {
-        broken.push("requestsAnswered differs from requestsSent");
+    if (figures.requestsAnswered !== figures.requestsSent) {
+        violations.push("requestsAnswered differs from requestsSent");
     }
-    return broken;
+    return violations;
 };
--- a/packages/stand-ins/src/demo/processes.ts
+++ b/packages/stand-ins/src/demo/processes.ts
@@ -1,4 +1,4 @@
-/** Starting and ending the demo's processes. */
+/** Starts and ends the child processes of the demo: stand-ins and daemons. */
 
 import { type ChildProcess, fork } from "node:child_process";
 import { createWriteStream, mkdirSync, writeFileSync } from "node:fs";
@@ -9,7 +9,7 @@
 import type { Vm } from "puffinarch";
 import { stringify } from "yaml";
 
-/** A daemon under the demo's control. */
+/** A daemon that the demo started. */
 export interface DemoDaemon {
     readonly vmId: string;
     readonly dataCentre: string;
@@ -19,19 +19,19 @@
 
 /** The demo's child processes. */
 export interface Processes {
-    /** Starts a process of stand-ins and resolves to its addresses. */
-    startRole(role: "platform" | "workers" | "upstreams", vms: readonly Vm[]): Promise<readonly string[]>;
-    /** Starts a daemon, with flags for Node.js where some are given. */
+    /** Starts a process that serves stand-ins of one kind and resolves to their addresses. */
+    startStandIns(role: "platform" | "workers" | "upstreams", vms: readonly Vm[]): Promise<readonly string[]>;
+    /** Starts a daemon, with optional flags for Node.js, and resolves once it is listening. */
     startDaemon(vm: Vm, platformAddress: string, nodeFlags?: readonly string[]): Promise<DemoDaemon>;
-    /** Ends everything that was started. */
-    endAll(): void;
+    /** Kills every process that was started. */
+    killAll(): void;
 }
 
-const rolePath = fileURLToPath(new URL("./role.js", import.meta.url));
+const standInPath = fileURLToPath(new URL("./role.js", import.meta.url));
 const daemonPath = createRequire(import.meta.url).resolve("puffinarchd").replace(/index\.js$/, "main.js");
 
 /**
- * Makes the demo's processes; settings and logs go below a folder.
+ * Creates the folder for settings and logs of the daemons, and a launcher whose processes are killed when this one exits.
  *
  * @example
  * const processes = createProcesses("reports/demo");
@@ -40,15 +40,15 @@
     const children: ChildProcess[] = [];
     mkdirSync(folder, { recursive: true });
 
-    const startRole: Processes["startRole"] = (role, vms) =>
+    const startStandIns: Processes["startStandIns"] = (role, vms) =>
         new Promise((resolve, reject) => {
-            const child = fork(rolePath, [role, JSON.stringify(vms)]);
+            const child = fork(standInPath, [role, JSON.stringify(vms)]);
             children.push(child);
             child.once(
                 "message",
                 message => resolve((message as { readonly addresses: readonly string[]; }).addresses),
             );
-            child.once("exit", code => reject(new Error(`the ${role} process ended with ${code}`)));
+            child.once("exit", code => reject(new Error(`the ${role} process exited with code ${code}`)));
         });
 
     const startDaemon: Processes["startDaemon"] = (vm, platformAddress, nodeFlags = []) =>
@@ -68,7 +68,7 @@
             });
             children.push(child);
             const log = createWriteStream(join(folder, `${vm.vmId}.log`));
-            child.once("exit", code => reject(new Error(`daemon ${vm.vmId} ended with ${code}`)));
+            child.once("exit", code => reject(new Error(`daemon ${vm.vmId} exited with code ${code}`)));
             if (child.stdout === null) {
                 return;
             }
@@ -82,13 +82,13 @@
             });
         });
 
-    const endAll = (): void => {
+    const killAll = (): void => {
         for (const child of children) {
             child.kill("SIGKILL");
         }
     };
     process.setMaxListeners(0);
-    process.once("exit", endAll);
+    process.once("exit", killAll);
 
-    return { startRole, startDaemon, endAll };
+    return { startStandIns, startDaemon, killAll };
 };
--- a/packages/stand-ins/src/demo/role.ts
+++ b/packages/stand-ins/src/demo/role.ts
@@ -1,4 +1,7 @@
-/** A process of stand-ins: `role.js platform|workers|upstreams JSON`. It tells its addresses to its parent and ends with it. */
+/**
+ * Process that serves stand-ins of one kind: `role.js platform|workers|upstreams JSON`, where the JSON lists the VMs. It
+ * sends their addresses to its parent process as a message and exits with it.
+ */
 
 import { createSystemClock, createSystemRandom, type Vm } from "puffinarch";
 import { createPlatform, defaultPlatformLimits } from "../platform.js";
@@ -8,7 +11,7 @@
 
 const clock = createSystemClock();
 
-const roles: Readonly<Record<string, (vms: readonly Vm[]) => Promise<readonly string[]>>> = {
+const startFunctions: Readonly<Record<string, (vms: readonly Vm[]) => Promise<readonly string[]>>> = {
     platform: async () => {
         const platform = createPlatform(clock, createSystemRandom(), defaultPlatformLimits);
         return [(await servePlatform(platform, 0)).address];
@@ -27,5 +30,5 @@
 
 const [role = "", vms = "[]"] = process.argv.slice(2);
 process.on("disconnect", () => process.exit(0));
-const addresses = await roles[role]?.(JSON.parse(vms) as readonly Vm[]);
+const addresses = await startFunctions[role]?.(JSON.parse(vms) as readonly Vm[]);
 process.send?.({ addresses });
--- a/packages/stand-ins/src/demo/stay.ts
+++ b/packages/stand-ins/src/demo/stay.ts
@@ -1,4 +1,4 @@
-/** A cell to try the tool on: one deployment that stays up for a while and prints its endpoints. */
+/** `npm run cell`: runs one deployment for a limited time, to try the command-line tool on, and prints the daemons' addresses. */
 
 import { Command, Option } from "commander";
 import { createSystemClock, sleep } from "puffinarch";
@@ -7,10 +7,12 @@
 import { startCell } from "./startCell.js";
 
 const program = new Command("cell")
-    .description("Starts one deployment with stand-ins, prints the daemons' addresses, and ends by itself.")
-    .option("--seconds <n>", "how long it stays up", "600")
+    .description("Starts one deployment with stand-ins, prints the daemons' addresses, and exits after a while.")
+    .option("--seconds <n>", "how long the deployment runs, in seconds", "600")
     .addOption(
-        new Option("--deployment <name>", "which one").choices(deployments.map(each => each.name)).default("bajio"),
+        new Option("--deployment <name>", "name of the deployment").choices(deployments.map(each => each.name)).default(
+            "bajio",
+        ),
     );
 
 program.parse();
@@ -23,6 +25,6 @@
         process.stdout.write(`${daemon.vmId} ${daemon.address}\n`);
     }
     await sleep(createSystemClock(), Number(seconds) * 1_000);
-    processes.endAll();
+    processes.killAll();
 }
 process.exit();
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for everything outside of puffinarch: platform, workers, upstreams. */
+/** Stand-ins (test doubles) for the systems around puffinarch: platform, workers and upstreams. */
 
 export * from "./cell/brokenParts.js";
 export * from "./cell/cell.js";
@@ -6,7 +6,7 @@
 export * from "./cell/gate.js";
 export * from "./demo/deployments.js";
 export * from "./demo/processes.js";
-export { get, post, startCell } from "./demo/startCell.js";
+export { getJson, postJson, startCell } from "./demo/startCell.js";
 export * from "./explore/explore.js";
 export * from "./faults.js";
 export * from "./platform.js";
