--- a/packages/stand-ins/src/explore/main.ts
+++ b/packages/stand-ins/src/explore/main.ts
@@ -1,18 +1,22 @@
-/** `npm run explore -- --seeds N`: many schedules by hand; a broken one is printed whole. */
+/** `npm run explore -- --seeds N`: runs many schedules of `explore.ts`; prints every step of each one that violates a guarantee. */
 
 import { Command, Option } from "commander";
 import { type BrokenPart, brokenParts } from "../cell/brokenParts.js";
 import { explore, type Scene } from "./explore.js";
 
 const program = new Command("explore")
-    .description("Runs seeded schedules of faults against a small cell and checks every promise.")
-    .option("--seeds <n>", "how many schedules", "200")
+    .description("Runs seeded schedules of faults against a small cell and checks every guarantee.")
+    .option("--seeds <n>", "number of schedules", "200")
     .option("--first <n>", "the first seed", "1")
-    .option("--steps <n>", "steps in a schedule", "30")
+    .option("--steps <n>", "number of steps in a schedule", "30")
     .addOption(
-        new Option("--scene <name>", "a scene to show often").choices(["endMidStart", "cutWithBacklog", "endInOutage"]),
+        new Option("--scene <name>", "fault sequence to choose for most steps").choices([
+            "endMidStart",
+            "cutWithBacklog",
+            "endInOutage",
+        ]),
     )
-    .addOption(new Option("--broken <part>", "break a part on purpose").choices([...brokenParts]));
+    .addOption(new Option("--broken <part>", "part of the environment to break on purpose").choices([...brokenParts]));
 
 program.parse();
 const flags = program.opts<
