--- a/packages/stand-ins/src/faults.ts
+++ b/packages/stand-ins/src/faults.ts
@@ -1,48 +1,55 @@
-/** Faults that a stand-in can be told to have, by name, from a table. */
+/** Fault injection for calls to the stand-ins: faults are set per target and hit calls at random. */
 
 import type { Clock, Random } from "puffinarch";
 import { sleep } from "puffinarch";
 
-/** One fault of one target; `probability` 1 hits every call. */
+/** One fault of one target. */
 export interface Fault {
     readonly target: string;
     /**
-     * `refuse`: no effect, said so. `hang`: no effect, no answer. `loseReply`: effect, no answer. `slow`: effect and
-     * answer after a delay. `late`: no answer at once, effect after a delay.
+     * `refuse`: no effect, and the answer is an error. `hang`: no effect and no answer. `loseReply`: effect, but no answer.
+     * `slow`: effect and answer after a delay. `late`: no answer, and the effect only after a delay.
      */
     readonly kind: "refuse" | "hang" | "loseReply" | "slow" | "late";
+    /** Fraction of the calls that the fault hits; 1 for every call. */
     readonly probability: number;
-    /** For `slow` and `late`. */
+    /** Used by `slow` and `late`. */
     readonly delayMs?: number;
 }
 
-/** What a call that meets a fault ends with. */
+/** How a call ends under the faults of its target. `silent`: no answer; the effect may have happened or may follow. */
 export type FaultedResult<T> = { readonly kind: "answered"; readonly value: T; } | {
     readonly kind: "refused" | "silent";
 };
 
-/** The faults in force. */
-export interface Faults {
+/** Holds the faults in force and applies them to calls. */
+export interface FaultInjector {
     /**
-     * Replaces all faults of a target; an empty list heals it. Faults of `table` hit `tableReads` and `tableWrites`.
+     * Replaces all faults of a target; an empty list removes them. Faults of `table` also hit calls to the targets
+     * `tableReads` and `tableWrites`.
      */
     set(target: string, faults: readonly Fault[]): void;
-    /** Runs an effect under the faults of a target. */
+    /** Runs an effect under the first of the target's faults that hits this call, if any does. */
     apply<T>(target: string, effect: () => T | Promise<T>): Promise<FaultedResult<T>>;
 }
 
 /**
- * Makes a healthy table of faults.
+ * Creates a fault injector without faults.
  *
  * @example
- * faults.set("table", [{ target: "table", kind: "refuse", probability: 1 }]);
+ * injector.set("table", [{ target: "table", kind: "refuse", probability: 1 }]);
  */
-export const createFaults = (clock: Clock, random: Random): Faults => {
-    const table = new Map<string, readonly Fault[]>();
+export const createFaultInjector = (clock: Clock, random: Random): FaultInjector => {
+    const faultsByTarget = new Map<string, readonly Fault[]>();
 
     const pickFault = (target: string): Fault | undefined => {
-        const whole = target.replace(/(Reads|Writes)$/, "");
-        for (const fault of [...table.get(target) ?? [], ...whole === target ? [] : table.get(whole) ?? []]) {
+        const parentTarget = target.replace(/(Reads|Writes)$/, "");
+        for (
+            const fault of [
+                ...faultsByTarget.get(target) ?? [],
+                ...parentTarget === target ? [] : faultsByTarget.get(parentTarget) ?? [],
+            ]
+        ) {
             if (random.next() < fault.probability) {
                 return fault;
             }
@@ -52,7 +59,7 @@
 
     return {
         set: (target, faults) => {
-            table.set(target, faults);
+            faultsByTarget.set(target, faults);
         },
         apply: async (target, effect) => {
             const fault = pickFault(target);
--- a/packages/stand-ins/src/platform.ts
+++ b/packages/stand-ins/src/platform.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: a transactional table and an object store with limits, and a lagging list of VMs. */
+/** Simulated platform: a transactional table and an object store with rate limits, and a list of VMs that lags. */
 
 import {
     type Clock,
@@ -11,23 +11,23 @@
     type VmList,
 } from "puffinarch";
 import type { Random } from "puffinarch";
-import { createFaults, type Faults } from "./faults.js";
+import { createFaultInjector, type FaultInjector } from "./faults.js";
 
-/** Limits of the platform. */
+/** Rate limits of the platform, per second, and the lag of its VM list. */
 export interface PlatformLimits {
     readonly writesPerSecond: number;
     readonly readsPerSecond: number;
     readonly vmListLagMs: number;
 }
 
-/** Several hundred writes and 2,000 reads a second. */
+/** The platform's limits are several hundred writes, taken as 300, and 2,000 reads a second. */
 export const defaultPlatformLimits: PlatformLimits = {
     writesPerSecond: 300,
     readsPerSecond: 2_000,
     vmListLagMs: 2_000,
 };
 
-/** Counts kept by the platform itself. */
+/** Counts that the platform keeps, independent of the daemons' own metrics. */
 export interface PlatformEvidence {
     readonly writes: number;
     readonly reads: number;
@@ -35,30 +35,34 @@
     readonly rows: number;
 }
 
-/** The platform and the means to break it. */
+/** A platform, with fault injection and control of its VMs. */
 export interface Platform {
     readonly table: TableStore;
     readonly objects: ObjectStore;
     readonly vmList: VmList;
-    readonly faults: Faults;
-    /** Adds or changes VMs; the list shows it after its lag. */
+    readonly faults: FaultInjector;
+    /** Adds or changes VMs; the list shows the change after its lag. */
     setVms(vms: readonly Vm[]): void;
+    /** Removes VMs; the list shows the change after its lag. */
     removeVms(vmIds: readonly string[]): void;
     evidence(): PlatformEvidence;
 }
 
 const maxRowBytes = 64 * 1024;
-const maxRows = 25;
-const rowsPerRead = 100;
+/** Rows of one transaction, and of one read by keys; a read of more keys costs several reads. */
+const maxRowsPerCall = 25;
+/** Rows of one page of a scan; each page costs one read. */
+const rowsPerScanPage = 100;
 const windowMs = 1_000;
 
-interface Window {
+/** Fixed window of a rate limit. */
+interface RateWindow {
     startedAtMs: number;
     used: number;
 }
 
 /**
- * Makes a platform.
+ * Creates a platform with an empty table and no VMs.
  *
  * @example
  * const platform = createPlatform(clock, random, defaultPlatformLimits);
@@ -67,18 +71,19 @@
 export const createPlatform = (clock: Clock, random: Random, limits: PlatformLimits): Platform => {
     const rows = new Map<string, TableRow>();
     const objects = new Map<string, string>();
-    const faults = createFaults(clock, random);
+    const faults = createFaultInjector(clock, random);
     const vms = new Map<string, Vm>();
     const listings: { readonly atMs: number; readonly generation: number; readonly vms: readonly Vm[]; }[] = [];
-    const writeWindow: Window = { startedAtMs: 0, used: 0 };
-    const readWindow: Window = { startedAtMs: 0, used: 0 };
+    const writeWindow: RateWindow = { startedAtMs: 0, used: 0 };
+    const readWindow: RateWindow = { startedAtMs: 0, used: 0 };
     let version = 0;
     let generation = 0;
     let writes = 0;
     let reads = 0;
     let refusedByLimit = 0;
 
-    const admit = (window: Window, limit: number, cost: number): boolean => {
+    /** Charges a cost to the window; false, and counted, where it would exceed the limit. */
+    const admit = (window: RateWindow, limit: number, cost: number): boolean => {
         const nowMs = clock.monotonicMs();
         if (nowMs - window.startedAtMs >= windowMs) {
             window.startedAtMs = nowMs;
@@ -92,18 +97,21 @@
         return true;
     };
 
-    const holds = (key: string, wanted: number | "absent"): boolean => {
+    const conditionHolds = (key: string, expectedVersion: number | "absent"): boolean => {
         const row = rows.get(key);
-        return wanted === "absent" ? row === undefined : row?.version === wanted;
+        return expectedVersion === "absent" ? row === undefined : row?.version === expectedVersion;
     };
 
     const commit: TableStore["transact"] = async ({ conditions, puts, deletes }) => {
         const keys = new Set([...conditions.map(each => each.key), ...puts.map(each => each.key), ...deletes]);
         const tooLarge = puts.some(put => JSON.stringify(put.value).length > maxRowBytes);
-        if (keys.size > maxRows || tooLarge) {
-            die("internal", `a transaction of ${keys.size} rows or with a row over ${maxRowBytes} bytes`);
+        if (keys.size > maxRowsPerCall || tooLarge) {
+            die(
+                "internal",
+                `transaction too large: ${keys.size} rows, or a row over ${maxRowBytes} bytes`,
+            );
         }
-        if (!conditions.every(each => holds(each.key, each.version))) {
+        if (!conditions.every(each => conditionHolds(each.key, each.version))) {
             return { outcome: "conflict" };
         }
         version += 1;
@@ -130,9 +138,10 @@
         return { outcome: result.kind === "refused" ? "refused" : "unknown" };
     };
 
-    const answerRead = async <T>(target: string, cost: number, effect: () => T): Promise<T> => {
+    /** Runs a call that is charged as reads: a read of the table, or any call to the object store. */
+    const callWithinReadLimit = async <T>(target: string, cost: number, effect: () => T): Promise<T> => {
         if (!admit(readWindow, limits.readsPerSecond, cost)) {
-            return die("unavailable", "over the platform's read limit");
+            return die("unavailable", "the platform's read limit is exceeded");
         }
         const result = await faults.apply(target, () => {
             reads += cost;
@@ -148,11 +157,12 @@
             left.key < right.key ? -1 : 1
         );
 
-    const publish = (): void => {
+    const publishListing = (): void => {
         generation += 1;
         listings.push({ atMs: clock.monotonicMs(), generation, vms: [...vms.values()] });
     };
 
+    /** The newest listing that is at least as old as the lag; empty before the first. */
     const visibleListing = () => {
         const visibleAtMs = clock.monotonicMs() - limits.vmListLagMs;
         while (listings.length > 1 && (listings[1]?.atMs ?? Infinity) <= visibleAtMs) {
@@ -166,21 +176,25 @@
         faults,
         table: {
             read: keys =>
-                answerRead(
+                callWithinReadLimit(
                     "tableReads",
-                    Math.ceil(keys.length / maxRows),
+                    Math.ceil(keys.length / maxRowsPerCall),
                     () => keys.flatMap(key => rows.get(key) ?? []),
                 ),
             scan: prefix => {
                 const found = scan(prefix);
-                return answerRead("tableReads", Math.max(1, Math.ceil(found.length / rowsPerRead)), () => found);
+                return callWithinReadLimit(
+                    "tableReads",
+                    Math.max(1, Math.ceil(found.length / rowsPerScanPage)),
+                    () => found,
+                );
             },
             transact,
         },
         objects: {
-            put: (key, body) => answerRead("objects", 1, () => void objects.set(key, body)),
-            get: key => answerRead("objects", 1, () => objects.get(key)),
-            delete: key => answerRead("objects", 1, () => void objects.delete(key)),
+            put: (key, body) => callWithinReadLimit("objects", 1, () => void objects.set(key, body)),
+            get: key => callWithinReadLimit("objects", 1, () => objects.get(key)),
+            delete: key => callWithinReadLimit("objects", 1, () => void objects.delete(key)),
         },
         vmList: {
             list: async () => {
@@ -194,13 +208,13 @@
             for (const vm of changed) {
                 vms.set(vm.vmId, vm);
             }
-            publish();
+            publishListing();
         },
         removeVms: vmIds => {
             for (const vmId of vmIds) {
                 vms.delete(vmId);
             }
-            publish();
+            publishListing();
         },
         evidence: () => ({ writes, reads, refusedByLimit, rows: rows.size }),
     };
--- a/packages/stand-ins/src/quiet.ts
+++ b/packages/stand-ins/src/quiet.ts
@@ -1,9 +1,9 @@
-/** A log and a meter that keep nothing, for parts whose lines and figures a test does not look at. */
+/** A log and a meter that discard everything, for tests that do not check log lines or metrics. */
 
 import type { Log, Meter } from "puffinarch";
 
-/** Drops every line. */
+/** Discards every log line. */
 export const quietLog: Log = { write: () => {} };
 
-/** Drops every figure. */
+/** Discards every metric; totals and percentiles are 0. */
 export const quietMeter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
--- a/packages/stand-ins/src/runTwice.ts
+++ b/packages/stand-ins/src/runTwice.ts
@@ -1,10 +1,10 @@
-/** Finds tasks that ran in two places at once, or more often than once where once was promised, in the workers' evidence. */
+/** Finds tasks whose executions overlapped, and at-most-once tasks that ran more than once, in the records of the workers. */
 
 import { jobIdOf } from "puffinarch";
 import type { Execution } from "./worker.js";
 
 /**
- * Groups items by a key, in their order.
+ * Groups items by a key; groups and their items keep the order of the input.
  *
  * @example
  * groupBy(executions, execution => execution.taskId);
@@ -23,7 +23,8 @@
     return groups;
 };
 
-const overlap = (executions: readonly Execution[]): boolean => {
+/** True where an execution started before the previous one had ended; one without an end has not ended. */
+const runsOverlap = (executions: readonly Execution[]): boolean => {
     const sorted = [...executions].sort((left, right) => left.startedAtMs - right.startedAtMs);
     return sorted.some((execution, index) =>
         index > 0 && execution.startedAtMs < (sorted[index - 1]?.endedAtMs ?? Infinity)
@@ -31,19 +32,19 @@
 };
 
 /**
- * Lists the tasks that broke the promise to run once.
+ * Lists the tasks that ran twice at a time, and the tasks of at-most-once jobs that ran more than once.
  *
  * @example
  * tasksRunTwice(cell.executions(), new Set(["payout-17"])); // []
  */
 export const tasksRunTwice = (
     executions: readonly Execution[],
-    onceOnlyJobs: ReadonlySet<string>,
+    atMostOnceJobs: ReadonlySet<string>,
 ): readonly string[] => {
     const twice: string[] = [];
     for (const [taskId, runs] of groupBy(executions, execution => execution.taskId)) {
-        const tooOften = onceOnlyJobs.has(jobIdOf(taskId)) && runs.length > 1;
-        if (tooOften || overlap(runs)) {
+        const brokeAtMostOnce = atMostOnceJobs.has(jobIdOf(taskId)) && runs.length > 1;
+        if (brokeAtMostOnce || runsOverlap(runs)) {
             twice.push(taskId);
         }
     }
--- a/packages/stand-ins/src/serve.ts
+++ b/packages/stand-ins/src/serve.ts
@@ -1,4 +1,4 @@
-/** The stand-ins as HTTP servers on the loopback address. */
+/** HTTP servers for the stand-ins, on the loopback address. */
 
 import Fastify, { type FastifyInstance } from "fastify";
 import { failureOf, type StartOrder, type StopOrder, type Transaction, type Vm, type WorkerPoll } from "puffinarch";
@@ -11,13 +11,14 @@
 const bodyLimitBytes = 64 * 1024 * 1024;
 const defaultScript: RequestScript = { workMs: 5, answerBytes: 64 };
 
-/** A server that listens. */
+/** A server that is listening. */
 export interface Served {
+    /** Base URL. */
     readonly address: string;
     close(): Promise<void>;
 }
 
-const newServer = (): FastifyInstance => Fastify({ bodyLimit: bodyLimitBytes, forceCloseConnections: true });
+const createServer = (): FastifyInstance => Fastify({ bodyLimit: bodyLimitBytes, forceCloseConnections: true });
 
 const listen = async (server: FastifyInstance, port: number): Promise<Served> => {
     const address = await server.listen({ host: loopback, port });
@@ -25,13 +26,13 @@
 };
 
 /**
- * Serves a platform: `/table/*`, `/objects/*`, `/vms`, and `/control/*` for whoever runs an experiment.
+ * Serves a platform: `/table/*`, `/objects/*` and `/vms` for the daemons, `/control/*` for the test or demo that controls it.
  *
  * @example
  * const { address } = await servePlatform(platform, 0);
  */
 export const servePlatform = async (platform: Platform, port: number): Promise<Served> => {
-    const server = newServer();
+    const server = createServer();
     server.setErrorHandler((error, _request, reply) => {
         void reply.code(failureOf(error).kind === "unavailable" ? 503 : 500).send(failureOf(error));
     });
@@ -73,13 +74,13 @@
 };
 
 /**
- * Serves many workers on one port, each below `/workers/ID`.
+ * Serves several workers on one port, each under `/workers/ID`.
  *
  * @example
  * const { address } = await serveWorkers([worker], 0);
  */
 export const serveWorkers = async (workers: readonly WorkerStandIn[], port: number): Promise<Served> => {
-    const server = newServer();
+    const server = createServer();
     const byId = new Map(workers.map(worker => [worker.workerId, worker]));
     const find = (workerId: string): WorkerStandIn => {
         const worker = byId.get(workerId);
@@ -134,13 +135,13 @@
 };
 
 /**
- * Serves one upstream on a port of its own, so that its connections can be counted.
+ * Serves one upstream; each one needs its own port, so that its connections can be counted.
  *
  * @example
  * const { address } = await serveUpstream(upstream, 0);
  */
 export const serveUpstream = async (upstream: UpstreamStandIn, port: number): Promise<Served> => {
-    const server = newServer();
+    const server = createServer();
     server.server.on("connection", socket => {
         if (!upstream.connect()) {
             socket.destroy();
@@ -161,7 +162,7 @@
             reply.header("x-upstream-leaving", "true");
         }
         return answer === undefined
-            ? reply.code(503).header("x-not-run", "true").send({ error: "every slot is taken" })
+            ? reply.code(503).header("x-not-run", "true").send({ error: "all slots are in use" })
             : reply.header("content-type", "application/json").send(answer);
     });
     return listen(server, port);
--- a/packages/stand-ins/src/upstream.ts
+++ b/packages/stand-ins/src/upstream.ts
@@ -1,53 +1,59 @@
-/** Stand-in for an upstream: 8 slots and 64 connections, both enforced and counted, and a record of what ran. */
+/** Simulated upstream that enforces 8 slots and 64 connections, counts violations of both and records every request that ran. */
 
 import { type Clock, sleep } from "puffinarch";
 
-/** One run of a request. */
+/** One run of a request; times are wall clock. */
 export interface RequestRun {
     readonly requestId: string;
     readonly idempotent: boolean;
     readonly upstreamId: string;
     readonly startedAtMs: number;
+    /** Undefined while the request runs. */
     readonly endedAtMs?: number;
 }
 
-/** What a request asks the stand-in to do; the request's body, as JSON. */
+/** Behaviour of a simulated request: the request's body, as JSON. */
 export interface RequestScript {
     readonly workMs: number;
+    /** Length of the padding in the answer. */
     readonly answerBytes: number;
 }
 
-/** Counts kept by the upstream itself. */
+/** Records that the upstream keeps, independent of the daemons' own metrics. */
 export interface UpstreamEvidence {
     readonly upstreamId: string;
     readonly runs: readonly RequestRun[];
+    /** Requests that arrived while all slots were in use. */
     readonly slotViolations: number;
+    /** Connections that were opened over the limit. */
     readonly connectionViolations: number;
+    /** Most slots in use at once. */
     readonly peakSlots: number;
-    /** When it began to leave, on the wall clock. */
+    /** Wall time at which the upstream began to leave; undefined before. */
     readonly leavingSinceMs?: number;
 }
 
-/** One upstream. */
+/** A simulated upstream and its records. */
 export interface UpstreamStandIn {
     readonly upstreamId: string;
-    /** Undefined where every slot is taken; nothing ran then. */
+    /** Runs a request and returns its answer as JSON; undefined, without a run, where all slots are in use. */
     run(requestId: string, idempotent: boolean, script: RequestScript): Promise<string | undefined>;
-    /** False where the connection is one too many. */
+    /** Counts a new connection; false where it exceeds the limit. Each one counts until its `disconnect`. */
     connect(): boolean;
     disconnect(): void;
+    /** Marks the upstream as leaving; it continues to run requests. */
     leave(): void;
     status(): { readonly leaving: boolean; readonly slotsInUse: number; };
     evidence(): UpstreamEvidence;
 }
 
-/** Requests that an upstream runs at once. */
+/** Most requests that an upstream runs at once. */
 export const slotsPerUpstream = 8;
-/** Connections that an upstream accepts. */
+/** Most connections that an upstream accepts at once. */
 export const connectionsPerUpstream = 64;
 
 /**
- * Makes an upstream.
+ * Creates an upstream.
  *
  * @example
  * const answer = await upstream.run("r-1", true, { workMs: 5, answerBytes: 100 });
