--- a/packages/stand-ins/src/cell/cell.ts
+++ b/packages/stand-ins/src/cell/cell.ts
@@ -74,7 +74,7 @@
     readonly gate: SimulatedProcess;
 }
 
-/** One end of a network link: the id of a VM, or `platformPlace`. */
+/** One end of a network link: the id of a VM, or `platformEndpoint`. */
 export type Endpoint = string;
 /** The platform as the end of a link. */
 export const platformPlace: Endpoint = "platform";
