--- a/features/steps/advisorLaneSteps.ts
+++ b/features/steps/advisorLaneSteps.ts
@@ -1,12 +1,12 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createFakeClock, type FakeClock, quietLog, quietMeter } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
-import { type AdviceDesk, createAdviceDesk, errorOf, sleep } from "puffinarch";
+import { type AdviceDispatcher, createAdviceDispatcher, errorOf, sleep } from "puffinarch";
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
     readonly clock: FakeClock;
-    readonly desk: AdviceDesk;
+    readonly desk: AdviceDispatcher;
     readonly laneIds: readonly string[];
     readonly callMs: number;
     /** Tells for each lane whether a call that comes now hangs. */
@@ -36,7 +36,7 @@
         const laneIds = Array.from({ length: lanes }, (_, index) => `entry-${index}`);
         const hangs = new Map<string, () => boolean>();
         const asked: string[] = [];
-        const desk = createAdviceDesk({
+        const desk = createAdviceDispatcher({
             clock,
             log: quietLog,
             meter: quietMeter,
@@ -98,12 +98,12 @@
     part(this).newest = newest;
     const isAdvised = (): boolean => newest.advisedAtMs !== undefined;
     const ask = (): void =>
-        desk.ask({
+        desk.enqueue({
             stepName: "1.0.0",
             workerIds: ["i-1"],
             costMs: callMs,
             priority: 1,
-            wanted: () => !isAdvised(),
+            isNeeded: () => !isAdvised(),
             onAnswer: () => {
                 assert.ok(!isAdvised(), "the step is answered twice");
                 newest.advisedAtMs = clock.monotonicMs();
@@ -122,12 +122,12 @@
         const { clock, desk, callMs, waits } = part(this);
         const ask = (costMs: number, kind: "slow" | "quick"): void => {
             const askedAtMs = clock.monotonicMs();
-            desk.ask({
+            desk.enqueue({
                 stepName: kind,
                 workerIds: ["i-1"],
                 costMs,
                 priority: kind === "quick" ? 0 : 2,
-                wanted: () => true,
+                isNeeded: () => true,
                 onAnswer: () => waits[kind].push(clock.monotonicMs() - askedAtMs),
                 onFailure: () => assert.fail("a call failed"),
             });
--- a/features/steps/examples/shardFixtures.ts
+++ b/features/steps/examples/shardFixtures.ts
@@ -61,7 +61,7 @@
  */
 export const openWorker = () => {
     const worker = newWorker(workerEntry("i-1", 1), 0);
-    worker.certain = true;
+    worker.runsKnown = true;
     worker.clock = { localMs: 0, clockMs: 1_000 };
     return worker;
 };
@@ -73,4 +73,4 @@
  * const run = runOf(exampleJob());
  */
 export const runOf = (job: ShardJob): ShardRun =>
-    newRun(taskOf(job), "i-1", 1, { phase: "running", settledAtMs: 0, shown: true, startedAtMs: 0 });
+    newRun(taskOf(job), "i-1", 1, { phase: "running", absenceProvenAfterMs: 0, wasListed: true, startedAtMs: 0 });
--- a/features/steps/examples/shardIncarnations.ts
+++ b/features/steps/examples/shardIncarnations.ts
@@ -4,6 +4,7 @@
 import {
     adoptRun,
     allowsStart,
+    clearCrashesIfSound,
     countCrash,
     crashedRuns,
     createCorrelatedCrashes,
@@ -22,7 +23,6 @@
     noteStartAnswered,
     noteStartUnanswered,
     runPhases,
-    showSound,
     withUndecided,
 } from "puffinarch";
 import { exampleJob, openWorker, runOf } from "./shardFixtures.js";
@@ -36,7 +36,7 @@
         countCrash(crashed, { others: 0, nowMs: 1_000 });
     }
     const { crashes: counted } = run.task;
-    showSound(run, 9_000);
+    clearCrashesIfSound(run, 9_000);
     return `${counted} crash, then ${run.task.crashes}`;
 };
 
@@ -44,7 +44,7 @@
     const worker = openWorker();
     adoptRun(worker, { ...runOf(exampleJob()), startedAtMs: 990 });
     const lost = createLostRuns(() => {});
-    lost.lose({ workerId: "i-1", address: "10.0.0.1:1" }, crashedRuns(worker, 1_000), 1_000);
+    lost.add({ workerId: "i-1", address: "10.0.0.1:1" }, crashedRuns(worker, 1_000), 1_000);
     return `${lost.replaced("10.0.0.1:1", "i-2").length} run was lost with i-1`;
 };
 
@@ -164,7 +164,12 @@
     adoptRun(former, unshown);
     const delayed = createDelayedStarts(clock);
     const left = leaveIncarnation(former, delayed, 1_000);
-    const next = enterIncarnation(former, left, { bornAtMs: 900, listed: undefined, horizonMs: 11_000, nowMs: 1_000 });
+    const next = enterIncarnation(former, left, {
+        bornAtMs: 900,
+        listed: undefined,
+        leaseHorizonMs: 11_000,
+        nowMs: 1_000,
+    });
     const settled = isSettledByLook(unshown, delayed) ? "by its next look" : "by a stop";
     const suspects = withUndecided(next, left.suspects).length;
     return `${next.runs.size} of 2 runs may be there, settled ${settled}; ${suspects} may have crashed the incarnation before`;
@@ -178,7 +183,7 @@
     all.note(second, 1_100, []);
     all.answered(second);
     all.answered({ ...first, bornAtMs: 1_200 });
-    return `${all.othersAt(1_050, exampleJob())} worker fell silent`;
+    return `${all.countOthersAt(1_050, exampleJob())} worker fell silent`;
 };
 
 /** Examples of the modules about incarnations of workers, by the module's name. */
--- a/features/steps/examples/shardJobs.ts
+++ b/features/steps/examples/shardJobs.ts
@@ -2,12 +2,12 @@
 
 import { createFakeClock, plainStep, testQueue } from "@puffinarch/stand-ins";
 import {
-    applyEnd,
-    countStands,
+    applyRunEnd,
+    countAvailabilities,
     createAcceptance,
     createAccounts,
     createCallerKeys,
-    createForward,
+    createForwarder,
     createTaskReview,
     defaultShardSettings,
     digestKey,
@@ -22,8 +22,8 @@
 
 const jobBook = (): string => {
     const job = exampleJob();
-    applyEnd(taskOf(job), 1, "done", "", 1_000);
-    applyEnd(taskOf(job, 1), 1, "done", "", 2_000);
+    applyRunEnd(taskOf(job), 1, "done", "", 1_000);
+    applyRunEnd(taskOf(job, 1), 1, "done", "", 2_000);
     return job.state;
 };
 
@@ -50,9 +50,9 @@
         commits,
         commit: () => new Promise(() => {}),
         consider: () => {},
-        takeBack: () => {},
-        endedKnown: Promise.resolve(new Map()),
-        endOfOffice: new Promise<never>(() => {}),
+        dropPlannedStarts: () => {},
+        endedJobs: Promise.resolve(new Map()),
+        ownershipLost: new Promise<never>(() => {}),
     });
     const refusal = await submit({ ...submission, steps: [plainStep] }).catch(kindOf);
     return `${String(refusal)}, ${jobs.size} jobs`;
@@ -81,7 +81,7 @@
 
 const forward = async (): Promise<string> => {
     const clock = createFakeClock();
-    const passing = createForward({
+    const passing = createForwarder({
         clock,
         retryAfterMs: 1_000,
         shard: () => undefined,
@@ -89,7 +89,7 @@
         ownerLostMs: () => clock.monotonicMs(),
         onNoAnswer: () => {},
     });
-    const asked = passing.run({ local: async () => "here", remote: async () => "there", patienceMs: 2_000 })
+    const asked = passing.run({ local: async () => "here", remote: async () => "there", totalTimeoutMs: 2_000 })
         .catch((error: unknown) => `${kindOf(error)} after ${clock.monotonicMs()} ms`);
     await clock.advance(3_000);
     return asked;
@@ -99,10 +99,10 @@
     const { step } = taskOf(exampleJob());
     const worker = openWorker();
     const now = { workers: new Map([["i-1", worker]]), nowMs: 100 };
-    const before = taskWaitOf(taskOf(step.occurrence.job), countStands(step, now), now);
+    const before = taskWaitOf(taskOf(step.occurrence.job), countAvailabilities(step, now), now);
     step.advice.good.set("i-1", { ticket: "t", validUntilMs: 9_000 });
     worker.held = worker.entry.capacity;
-    return `${before}, then ${taskWaitOf(taskOf(step.occurrence.job), countStands(step, now), now)}`;
+    return `${before}, then ${taskWaitOf(taskOf(step.occurrence.job), countAvailabilities(step, now), now)}`;
 };
 
 const taskReview = (): string => {
@@ -115,7 +115,7 @@
         meter,
         jobs: new Map([[submission.jobId, job]]),
         workers: new Map([["i-1", openWorker()]]),
-        placing: { holds: () => considered.length > 0, consider: each => considered.push(each.submission.jobId) },
+        placing: { isQueued: () => considered.length > 0, updateJob: each => considered.push(each.submission.jobId) },
     });
     return `${review.run()} step put back, then ${review.run()}`;
 };
--- a/features/steps/examples/shardOwners.ts
+++ b/features/steps/examples/shardOwners.ts
@@ -5,22 +5,22 @@
     claimOrder,
     claimReasons,
     claimShard,
-    countShortOffices,
-    createCommitWitness,
+    countShortTenures,
+    createCommitMonitor,
     createConfigurationFetch,
     createOwnerProgress,
     createPeers,
     createRowReader,
     defaultShardSettings,
+    delayForRankMs,
     followerPauseMs,
     handOver,
     journalTable,
-    patienceFactor,
     type Peers,
-    placeDelayMs,
     sequenceKey,
     type ShardOwner,
     startShardOwner,
+    timeoutFactor,
     watchOwner,
     watchReadiness,
 } from "puffinarch";
@@ -37,10 +37,10 @@
         owner,
         seenVersion: 0,
         wanted: () => true,
-        heardToken: () => undefined,
+        reportedToken: () => undefined,
         onClaimed: () => {},
-        restorePatienceMs: 2_500,
-        restoreWithinMs: 5_000,
+        restoreIdleTimeoutMs: 2_500,
+        restoreTimeoutMs: 5_000,
     };
     const first = claimShard(options);
     await clock.advance(100);
@@ -58,8 +58,8 @@
         isLeaving: () => false,
         hasConfiguration: () => true,
         owns: () => clock.monotonicMs() < 500,
-        wellAtMs: () => -Infinity,
-        ownerAtWorkAtMs: () => Math.min(clock.monotonicMs(), 500),
+        lastHealthyAtMs: () => -Infinity,
+        ownerServingAtMs: () => Math.min(clock.monotonicMs(), 500),
         knownOwner: () => undefined,
         situation: () => ({}),
     });
@@ -79,10 +79,10 @@
         owner,
         seenVersion: 0,
         wanted: () => true,
-        heardToken: () => undefined,
+        reportedToken: () => undefined,
         onClaimed: () => {},
-        restorePatienceMs: 2_500,
-        restoreWithinMs: 5_000,
+        restoreIdleTimeoutMs: 2_500,
+        restoreTimeoutMs: 5_000,
     });
     await clock.advance(100);
     const claimed = await claiming;
@@ -132,7 +132,7 @@
         onOwner: () => {},
     });
     const peer = { memberId: "entry-2", address: "http://127.0.0.1:7101", dataCentre: "leon-feria", incarnation: "9" };
-    peers.take([{ table: "member", part: "", key: "entry-2", value: JSON.stringify(peer), version: 1 }]);
+    peers.applyRows([{ table: "member", part: "", key: "entry-2", value: JSON.stringify(peer), version: 1 }]);
     return peers;
 };
 
@@ -153,7 +153,7 @@
     const strongAhead = order.findIndex(({ strong }) => !strong);
     const pauseMs = followerPauseMs(candidates.length, 200);
     return `${strongAhead} strong ones first, ${pauseMs} ms between two pings, ${
-        placeDelayMs(20, 120)
+        delayForRankMs(20, 120)
     } ms for place 20`;
 };
 
@@ -178,10 +178,10 @@
         known: () => ({ row: owner, version: 7 }),
         owns: () => claims.length > 0,
         isSettled: () => true,
-        isResting: () => false,
+        isBackingOff: () => false,
         isLeaving: () => false,
         readOwner: async () => true,
-        witness: { isQuiet: async () => true, reset: () => {} },
+        commitMonitor: { isQuiet: async () => true, reset: () => {} },
         claim: async (version, why) => claims.push(`${version} ${why}`),
         onAnswer: () => {},
         onOwnerAnswer: () => {},
@@ -196,7 +196,7 @@
 const commitWitness = async (): Promise<string> => {
     const clock = createFakeClock();
     const store = createFakeRowStore(clock);
-    const witness = createCommitWitness({ clock, log, store: store.connect("entry-1"), part });
+    const witness = createCommitMonitor({ clock, log, store: store.connect("entry-1"), part });
     const isQuiet = async (): Promise<boolean> => {
         const answer = witness.isQuiet();
         await clock.advance(1_000);
@@ -248,7 +248,7 @@
         meter,
         newsAgeMs: () => 500,
         stalledMs: () => 0,
-        lookedAtMs: () => 0,
+        newestAnswerAtMs: () => 0,
     });
     for (let second = 0; second < 5; second += 1) {
         await clock.advance(1_000);
@@ -268,9 +268,9 @@
 
 const shortOffices = (): string => {
     const previous = { shortOffices: 1 };
-    const busy = countShortOffices({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
-    const lasting = countShortOffices({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
-    return `${patienceFactor({ shortOffices: busy })} times, then ${patienceFactor({ shortOffices: lasting })}`;
+    const busy = countShortTenures({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
+    const lasting = countShortTenures({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
+    return `${timeoutFactor({ shortOffices: busy })} times, then ${timeoutFactor({ shortOffices: lasting })}`;
 };
 
 /** Examples of the modules about members and owners, by the module's name. */
--- a/features/steps/examples/shardPlacement.ts
+++ b/features/steps/examples/shardPlacement.ts
@@ -6,32 +6,32 @@
     allowsTrial,
     avoidedBy,
     chooseVictims,
-    createAdviceAsker,
-    createAdviceBreadth,
-    createAdviceDesk,
+    countTasksThatFit,
+    createAdviceCallSizer,
+    createAdviceDispatcher,
+    createAdviceRequester,
+    createCapacityView,
     createCapView,
     createChooser,
-    createPlacing,
-    createRoomView,
+    createTaskPlacer,
     defaultShardSettings,
-    ignoresRests,
-    inTurn,
+    inSchedulingOrder,
     isBlocked,
-    isTimeToAsk,
+    mayUseRestingWorkers,
     newAccount,
     newJob,
     noResources,
-    placesIn,
-    planRoom,
+    planReservations,
     roomOf,
-    startable,
+    shouldRequestAhead,
+    startableTasks,
 } from "puffinarch";
 import { exampleJob, log, meter, openWorker, runOf, submission, taskOf } from "./shardFixtures.js";
 
 const adviceDesk = async (): Promise<string> => {
     const clock = createFakeClock();
     const order: string[] = [];
-    const desk = createAdviceDesk({
+    const desk = createAdviceDispatcher({
         clock,
         log,
         meter,
@@ -41,10 +41,10 @@
             return { good: [], validMs: 2_500 };
         },
     });
-    const common = { workerIds: ["i-1"], costMs: 20, onAnswer: () => {}, onFailure: () => {}, wanted: () => true };
-    desk.ask({ ...common, stepName: "first", priority: 2 });
-    desk.ask({ ...common, stepName: "batch", priority: 2 });
-    desk.ask({ ...common, stepName: "urgent", priority: 0 });
+    const common = { workerIds: ["i-1"], costMs: 20, onAnswer: () => {}, onFailure: () => {}, isNeeded: () => true };
+    desk.enqueue({ ...common, stepName: "first", priority: 2 });
+    desk.enqueue({ ...common, stepName: "batch", priority: 2 });
+    desk.enqueue({ ...common, stepName: "urgent", priority: 0 });
     await clock.advance(10);
     return order.join(", ");
 };
@@ -60,7 +60,7 @@
     }
     return createChooser(task.step, new Map([full, free].map(worker => [worker.workerId, worker])), {
         nowMs: 0,
-        view: createRoomView(0),
+        view: createCapacityView(0),
         packing: "spread",
     }).choose(task)
         ?.workerId ?? "none";
@@ -79,22 +79,27 @@
 
 const eligible = (): string => {
     const step = { ...taskOf(exampleJob()).step, spec: { ...plainStep, count: 3 } };
-    return `${placesIn({ cpuMillis: 2_500, memoryMib: 4_000, accelerators: 0 }, step, 0)} of ${step.spec.count}`;
+    return `${
+        countTasksThatFit({ cpuMillis: 2_500, memoryMib: 4_000, accelerators: 0 }, step, 0)
+    } of ${step.spec.count}`;
 };
 
 const askAhead = (): string => {
     const job = exampleJob();
     const second = taskOf(job, 1).step;
-    const early = isTimeToAsk(second);
+    const early = shouldRequestAhead(second);
     taskOf(job).runs.push(runOf(job));
-    return `${early ? "now" : "not yet"}, then ${isTimeToAsk(second) ? "now" : "not yet"}`;
+    return `${early ? "now" : "not yet"}, then ${shouldRequestAhead(second) ? "now" : "not yet"}`;
 };
 
 const adviceBreadth = (): string => {
     const step = taskOf(exampleJob()).step;
-    const breadth = createAdviceBreadth({ usualAdviceWorkers: 40, maxAdviceWorkers: 100 });
+    const breadth = createAdviceCallSizer({ usualAdviceWorkers: 40, maxAdviceWorkers: 100 });
     const before = breadth.namesFor(step, 30);
-    breadth.note(step, ["i-1", "i-2", "i-3", "i-4"], { good: [{ workerId: "i-2", ticket: "t" }], validMs: 2_000 });
+    breadth.recordAnswer(step, ["i-1", "i-2", "i-3", "i-4"], {
+        good: [{ workerId: "i-2", ticket: "t" }],
+        validMs: 2_000,
+    });
     return `${before}, then ${breadth.namesFor(step, 20)}, or ${breadth.namesFor(step, 1)}`;
 };
 
@@ -103,7 +108,7 @@
     const first = newJob(submission, testQueue, { acceptedAtMs: 0, order: 1, account });
     const { step } = taskOf(first);
     const caps = createCapView(0, new WeakMap());
-    caps.keep(step, 2);
+    caps.reserve(step, 2);
     return `${caps.allowed(step, [taskOf(first), taskOf(first)]).length} beside 2 that wait for room`;
 };
 
@@ -111,9 +116,11 @@
     const worker = openWorker();
     const urgent = taskOf(exampleJob()).step;
     const other = taskOf(newJob(submission, { ...testQueue, priority: 2 }, { acceptedAtMs: 0, order: 2 })).step;
-    const view = createRoomView(0);
-    view.keep({ step: urgent, workerId: "i-1", held: worker.entry.capacity, freeAtMs: 100, victims: [] });
-    return `${view.roomFor(worker, urgent).cpuMillis} for it, ${view.roomFor(worker, other).cpuMillis} for others`;
+    const view = createCapacityView(0);
+    view.reserve({ step: urgent, workerId: "i-1", held: worker.entry.capacity, freeAtMs: 100, victims: [] });
+    return `${view.capacityFor(worker, urgent).cpuMillis} for it, ${
+        view.capacityFor(worker, other).cpuMillis
+    } for others`;
 };
 
 const blockedSteps = (): string => {
@@ -123,7 +130,7 @@
     step.advice.good.set("i-1", { ticket: "t", validUntilMs: 9_000 });
     worker.restsUntilMs = 4_000;
     step.blockedAtMs = isBlocked(step, { workers: new Map([["i-1", worker]]), nowMs: 100 }) ? 100 : undefined;
-    const passed = [100, 1_100, 2_100, 3_100].filter(nowMs => ignoresRests(task, nowMs));
+    const passed = [100, 1_100, 2_100, 3_100].filter(nowMs => mayUseRestingWorkers(task, nowMs));
     return `after ${passed.join(", ")} ms`;
 };
 
@@ -141,9 +148,9 @@
         first.held = busy.held;
         first.runs.set("busy", busy);
     }
-    const view = createRoomView(100);
+    const view = createCapacityView(100);
     const options = { step, waiting: 2, workers, view, nowMs: 100, stopMs: 200, slackMs: 5_000 };
-    return planRoom(options).map(each => `${each.workerId} in ${each.freeAtMs - 100} ms`).join(", ");
+    return planReservations(options).map(each => `${each.workerId} in ${each.freeAtMs - 100} ms`).join(", ");
 };
 
 const urgency = (): string => {
@@ -153,7 +160,7 @@
     const early = newJob(submission, testQueue, { acceptedAtMs: nowMs - 3_000, order: 1 });
     const later = newJob(submission, testQueue, { acceptedAtMs: nowMs, order: 2 });
     const steps = [early, later].map(job => taskOf(job).step);
-    const ranked = inTurn(steps, { clock, workers, order: "due" });
+    const ranked = inSchedulingOrder(steps, { clock, workers, order: "due" });
     return ranked.map(({ step, standing }) => `${step.occurrence.job.order} ${standing}`).join(", ");
 };
 
@@ -161,11 +168,11 @@
     const clock = createFakeClock();
     const { step } = taskOf(exampleJob());
     const call = async () => ({ good: [{ workerId: "i-1", ticket: "t" }], validMs: 2_500 });
-    const desk = createAdviceDesk({ clock, log, meter, lanes: () => ["entry-1"], call });
+    const dispatcher = createAdviceDispatcher({ clock, log, meter, lanes: () => ["entry-1"], call });
     const workers = new Map([["i-1", openWorker()]]);
-    const options = { clock, log, meter, settings: defaultShardSettings, workers, desk, onAnswer: () => {} };
-    const view = createRoomView(0);
-    createAdviceAsker(options).askFor({ step, waiting: 2, reservations: [], view, nowMs: 0 });
+    const options = { clock, log, meter, settings: defaultShardSettings, workers, dispatcher, onAnswer: () => {} };
+    const view = createCapacityView(0);
+    createAdviceRequester(options).requestTickets({ step, waiting: 2, reservations: [], view, nowMs: 0 });
     await clock.advance(10);
     return `may run on ${[...step.advice.good.keys()].join(", ")}`;
 };
@@ -190,26 +197,26 @@
     const planned: string[] = [];
     const job = exampleJob();
     taskOf(job).step.advice.good.set("i-1", { ticket: "t", validUntilMs: 9_000 });
-    const desk = createAdviceDesk({
+    const desk = createAdviceDispatcher({
         clock,
         log,
         meter,
         lanes: () => [],
         call: () => Promise.reject(new Error("no lane")),
     });
-    const all = createPlacing({
+    const all = createTaskPlacer({
         clock,
         log,
         meter,
         settings: defaultShardSettings,
         workers: new Map([["i-1", openWorker()]]),
-        desk,
+        dispatcher: desk,
         onPlanned: (_job, runs) => planned.push(...runs.map(run => `${run.task.name} on ${run.workerId}`)),
         onPreempt: () => {},
         wake: () => {},
     });
-    all.consider(job);
-    all.pass();
+    all.updateJob(job);
+    all.runPass();
     return planned.join(", ");
 };
 
@@ -220,7 +227,7 @@
     task.crashes = 2;
     adoptRun(worker, runOf(exampleJob()));
     const now = { workers: new Map([["i-1", worker]]), nowMs: 100 };
-    const chosen = startable(task.step, [task], now).length;
+    const chosen = startableTasks(task.step, [task], now).length;
     return `${chosen} task, ${allowsTrial(worker, task, 100) ? "beside others" : "by itself"}`;
 };
 
--- a/features/steps/examples/shardRows.ts
+++ b/features/steps/examples/shardRows.ts
@@ -44,7 +44,7 @@
         part,
         ownerVersion: 0,
         sequenceVersion: 0,
-        storeMs: 8,
+        storeLatencyMs: 8,
         claimId: "1",
         encode: jobId => ({ puts: [{ table: "puffinarch-journal", key: `state/${jobId}`, value: "{}" }], removes: [] }),
         onFenced: () => {},
@@ -65,7 +65,7 @@
         store: store.connect("entry-1"),
         part,
         ownerVersion: 0,
-        storeMs: 8,
+        storeLatencyMs: 8,
         onAnswer: () => {},
         isStopped: () => false,
     });
@@ -105,7 +105,7 @@
         table: "operator",
         parts: [""],
         onRows: rows => seen.push(...rows.map(row => row.key)),
-        onWhole: () => {},
+        onSnapshot: () => {},
     });
     await clock.advance(100);
     store.put("operator", "configuration", { version: 1 });
--- a/features/steps/examples/shardWorkers.ts
+++ b/features/steps/examples/shardWorkers.ts
@@ -53,8 +53,8 @@
         fencingToken: 7,
         workers: new Map(),
         stop: () => {},
-        lose: () => {},
-        settleMs: 0,
+        onIncarnationEnded: () => {},
+        staleOrderWindowMs: 0,
         rows: {
             read: async () => new Map(),
             record: async () => true,
@@ -128,7 +128,7 @@
         meter,
         jobOf: () => job,
         onChange: () => {},
-        othersAt: () => 0,
+        countOthersAt: () => 0,
         onStuck: () => {},
         stop: () => {},
         stopUnknown: () => {},
@@ -137,7 +137,7 @@
         onAbsent: () => {},
     });
     const ended = [{ endNumber: 7, taskName: task.name, run: 1, how: "done", checkpoint: "" }] as const;
-    const newest = watch.take(worker, { outcome: "done", clockMs: 1_000, running: [], ended }, 10);
+    const newest = watch.applyLook(worker, { outcome: "done", clockMs: 1_000, running: [], ended }, 10);
     return `end ${newest} taken, ${isWaiting(task) ? "waiting" : "done"}`;
 };
 
@@ -221,7 +221,7 @@
         onNextIncarnation: () => {},
         onStarted: () => {},
         wake: () => {},
-        onKnown: () => {},
+        onRunsKnown: () => {},
         onFenced: () => {},
     });
     workers.update([workerEntry("i-1", 1)]);
--- a/features/steps/examples/utilities.ts
+++ b/features/steps/examples/utilities.ts
@@ -6,17 +6,17 @@
     check,
     createRing,
     createSeededRandom,
-    errorAnswers,
+    errorResponses,
     failureOf,
     noResources,
-    pick,
+    pickMember,
     scale,
     startLoop,
     wholeNumber,
 } from "puffinarch";
 import { z } from "zod";
 
-const errors = (): string => `notRun is ${errorAnswers.notRun.httpStatus}`;
+const errors = (): string => `notRun is ${errorResponses.notRun.httpStatus}`;
 
 const checkExample = (): string => {
     try {
@@ -33,7 +33,7 @@
     `${add(noResources, scale({ cpuMillis: 1, memoryMib: 1, accelerators: 1 }, 3)).accelerators} accelerators`;
 
 const rendezvous = (): string =>
-    pick("unit", ["a", "b", "c"]) === pick("unit", ["c", "a", "b"]) ? "the same for all" : "different";
+    pickMember("unit", ["a", "b", "c"]) === pickMember("unit", ["c", "a", "b"]) ? "the same for all" : "different";
 
 const ring = (): string => {
     const entries = createRing<number>(2);
--- a/features/steps/failedTaskSteps.ts
+++ b/features/steps/failedTaskSteps.ts
@@ -179,7 +179,7 @@
         task.failures = testQueue.attempts - left;
         const workers = Array.from({ length: count }, (_, index) => {
             const worker = newWorker(workerEntry(`i-${index}`, index, capacity), nowMs);
-            worker.certain = true;
+            worker.runsKnown = true;
             worker.clock = { localMs: 0, clockMs: 0 };
             if (index < failed) {
                 task.failedOn.set(worker.workerId, nowMs - agoMs);
--- a/features/steps/keptRoomSteps.ts
+++ b/features/steps/keptRoomSteps.ts
@@ -15,8 +15,8 @@
 import assert from "node:assert/strict";
 import {
     adoptRun,
-    createAdviceDesk,
-    createPlacing,
+    createAdviceDispatcher,
+    createTaskPlacer,
     defaultShardSettings,
     newJob,
     newRun,
@@ -166,14 +166,14 @@
         const workers = new Map<string, ShardWorker>();
         for (const [index, task] of tasksOf(jobOf(1, { ...plainStep, count, longRunning: true })).entries()) {
             const worker = newWorker(workerEntry(`i-${index}`, index), 0);
-            worker.certain = true;
+            worker.runsKnown = true;
             worker.clock = { localMs: 0, clockMs: 0 };
             const run = newRun(task, worker.workerId, 1, {
                 address: worker.entry.address,
                 phase: "running",
                 sentAtMs: -atWorkMs,
-                settledAtMs: -atWorkMs,
-                shown: true,
+                absenceProvenAfterMs: -atWorkMs,
+                wasListed: true,
                 startedAtMs: -atWorkMs,
                 figure: 1,
             });
@@ -187,13 +187,13 @@
                 task.step.advice.good.set(workerId, { ticket: "t", validUntilMs: 2 * mostLateMs });
             }
         }
-        const placing = createPlacing({
+        const placing = createTaskPlacer({
             clock,
             log: quietLog,
             meter: quietMeter,
             settings: defaultShardSettings,
             workers,
-            desk: createAdviceDesk({
+            dispatcher: createAdviceDispatcher({
                 clock,
                 log: quietLog,
                 meter: quietMeter,
@@ -204,10 +204,10 @@
             onPreempt: () => {},
             wake: () => {},
         });
-        placing.consider(job);
+        placing.updateJob(job);
         part(this).onTrial = {
             clock,
-            pass: placing.pass,
+            pass: placing.runPass,
             isPlaced: () => tasksOf(job).every(task => task.runs.length > 0),
         };
     },
--- a/features/steps/loadSteps.ts
+++ b/features/steps/loadSteps.ts
@@ -16,16 +16,16 @@
 } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import {
-    createAdviceDesk,
-    createPlacing,
+    createAdviceDispatcher,
+    createTaskPlacer,
     defaultShardSettings,
     newJob,
     newWorker,
     packings,
-    type Placing,
     roomPolicies,
+    schedulingOrders,
     type ShardPolicies,
-    turnOrders,
+    type TaskPlacer,
 } from "puffinarch";
 import { partOf, type ScenarioWorld } from "./support.js";
 
@@ -40,7 +40,7 @@
 /** A step that is placed without a cell around it. */
 interface Placed {
     readonly clock: FakeClock;
-    readonly placing: Placing;
+    readonly placing: TaskPlacer;
     readonly runs: () => number[];
 }
 
@@ -64,7 +64,7 @@
     "workers of 8 accelerators with policies {string}, {string}, {string}",
     function(this: ScenarioWorld, order: string, packing: string, room: string) {
         part(this).policies = {
-            order: nameIn(Object.keys(turnOrders) as (keyof typeof turnOrders)[], order),
+            order: nameIn(Object.keys(schedulingOrders) as (keyof typeof schedulingOrders)[], order),
             packing: nameIn(Object.keys(packings) as (keyof typeof packings)[], packing),
             room: nameIn(roomPolicies, room),
         };
@@ -99,7 +99,7 @@
     function(this: ScenarioWorld, count: number) {
         const [only, silent] = ["i-1", "i-2"].map((workerId, index) => {
             const worker = newWorker(workerEntry(workerId, index), 5_000);
-            worker.certain = true;
+            worker.runsKnown = true;
             worker.clock = { localMs: 0, clockMs: 0 };
             return worker;
         });
@@ -117,23 +117,29 @@
         const step = job.occurrences.get(0)?.steps[0];
         // So late that after 6 s it is the end of the silent worker's leases that counts.
         step?.tasks[0]?.failedOn.set("i-1", 3_000);
-        step?.advice.asked.add("i-1");
+        step?.advice.askedWorkerIds.add("i-1");
         step?.advice.good.set("i-1", { ticket: "t", validUntilMs: 60_000 });
         const clock = createFakeClock();
         const quiet = { write: () => {} };
         const meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
-        const placing = createPlacing({
+        const placing = createTaskPlacer({
             clock,
             log: quiet,
             meter,
             settings: defaultShardSettings,
             workers: new Map([["i-1", only], ["i-2", silent]]),
-            desk: createAdviceDesk({ clock, log: quiet, meter, lanes: () => [], call: () => assert.fail() }),
+            dispatcher: createAdviceDispatcher({
+                clock,
+                log: quiet,
+                meter,
+                lanes: () => [],
+                call: () => assert.fail(),
+            }),
             onPlanned: () => {},
             onPreempt: () => {},
             wake: () => {},
         });
-        placing.consider(job);
+        placing.updateJob(job);
         part(this).placed = { clock, placing, runs: () => [...only.runs.values()].map(run => run.task.index) };
     },
 );
@@ -141,12 +147,12 @@
 const placed = (world: ScenarioWorld): Placed => part(world).placed ?? assert.fail("no step is placed");
 
 When("the step is placed", function(this: ScenarioWorld) {
-    placed(this).placing.pass();
+    placed(this).placing.runPass();
 });
 
 When("the step is placed after the leases of the silent worker", async function(this: ScenarioWorld) {
     await placed(this).clock.advance(6_000);
-    placed(this).placing.pass();
+    placed(this).placing.runPass();
 });
 
 Then("tasks {string} run on the worker that answers", function(this: ScenarioWorld, indices: string) {
--- a/features/steps/quotaSteps.ts
+++ b/features/steps/quotaSteps.ts
@@ -3,7 +3,7 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { jobIdOf, readSteps, testQueue } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
-import { defaultShardSettings, type Organisation, type TurnOrder, turnOrders } from "puffinarch";
+import { defaultShardSettings, type Organisation, type SchedulingOrder, schedulingOrders } from "puffinarch";
 import { cellOf, part, startCell } from "./shardCellPart.js";
 import { partOf, type ScenarioWorld } from "./support.js";
 
@@ -96,8 +96,8 @@
             ...organisation,
             weight: Number(weights.split(", ")[index]),
         }));
-        assert.ok(order in turnOrders, order);
-        const policies = { ...defaultShardSettings.policies, order: order as TurnOrder };
+        assert.ok(order in schedulingOrders, order);
+        const policies = { ...defaultShardSettings.policies, order: order as SchedulingOrder };
         await startCell(this, { members, workers, seed: 1, durationMs: "estimated", organisations, policies });
     },
 );
--- a/features/steps/restSteps.ts
+++ b/features/steps/restSteps.ts
@@ -199,13 +199,13 @@
             onNextIncarnation: () => {},
             onStarted: () => {},
             wake: () => {},
-            onKnown: () => {},
+            onRunsKnown: () => {},
             onFenced: () => {},
         });
         workers.update([workerEntry(workerId, 1)]);
         const worker = (): ShardWorker => workers.all.get(workerId) ?? assert.fail("the worker is gone");
         const start = (): void => {
-            assert.ok(looks > 0 && worker().certain);
+            assert.ok(looks > 0 && worker().runsKnown);
             const task = tasksOf(1).at(-1) ?? assert.fail("no task");
             const run = newRun(task, workerId, 1, { address: worker().entry.address, bornAtMs: worker().bornAtMs });
             task.runs.push(run);
--- a/features/steps/shardLookSteps.ts
+++ b/features/steps/shardLookSteps.ts
@@ -42,7 +42,7 @@
         onNextIncarnation: () => {},
         onStarted: () => {},
         wake: () => {},
-        onKnown: () => {},
+        onRunsKnown: () => {},
         onFenced: () => {},
     });
     workers.update(Array.from({ length: count }, (_, index) => workerEntry(`i-${index}`, index)));
@@ -93,17 +93,17 @@
         const clock = createFakeClock();
         const worker = newWorker(workerEntry("i-1", 1), 0);
         let looks = 0;
-        const link = openLinkTo(worker, clock, async (_target, { waitMs, patienceMs }) => {
+        const link = openLinkTo(worker, clock, async (_target, { waitMs, answerTimeoutMs }) => {
             looks += 1;
             if (looks === 1) {
                 return { outcome: "done", clockMs: clock.monotonicMs(), running: [], ended: [] };
             }
-            await sleep(clock, waitMs + patienceMs + lateMs);
+            await sleep(clock, waitMs + answerTimeoutMs + lateMs);
             return { outcome: "unknown" };
         });
         await clock.advance(60_000);
         link.close();
-        part(this).leasesOverAfterMs = worker.horizonMs - worker.answeredAtMs;
+        part(this).leasesOverAfterMs = worker.leaseHorizonMs - worker.answeredAtMs;
     },
 );
 
--- a/features/steps/shardModuleSteps.ts
+++ b/features/steps/shardModuleSteps.ts
@@ -14,9 +14,9 @@
 import {
     createAcceptance,
     createAccounts,
-    createAdviceDesk,
+    createAdviceDispatcher,
     createCommitLog,
-    createForward,
+    createForwarder,
     createPeers,
     createRowReader,
     defaultShardSettings,
@@ -44,7 +44,7 @@
             part: "shard-0",
             ownerVersion: 0,
             sequenceVersion: 0,
-            storeMs: 8,
+            storeLatencyMs: 8,
             claimId: "1",
             encode: jobId => ({ puts: [{ table: journalTable, key: jobId, value: "{}" }], removes: [] }),
             onFenced: () => fenced.push("fenced"),
@@ -72,7 +72,7 @@
     "the advice desk's lane is asked for urgent calls of {int} ms without end, and once for one of a lower priority",
     async function(this: ScenarioWorld, callMs: number) {
         const clock = createFakeClock();
-        const desk = createAdviceDesk({
+        const desk = createAdviceDispatcher({
             clock,
             log: quietLog,
             meter: quietMeter,
@@ -87,14 +87,14 @@
             workerIds: ["i-1"],
             costMs: callMs,
             priority,
-            wanted: () => true,
+            isNeeded: () => true,
             onAnswer,
             onFailure: () => {},
         });
-        const askUrgent = (): void => desk.ask(order(0, askUrgent));
+        const askUrgent = (): void => desk.enqueue(order(0, askUrgent));
         askUrgent();
         askUrgent();
-        desk.ask(order(2, () => {
+        desk.enqueue(order(2, () => {
             part(this).adviceServedAtMs = clock.monotonicMs();
         }));
         part(this).faultAtMs = clock.monotonicMs();
@@ -117,7 +117,7 @@
     async function(this: ScenarioWorld, afterMs: number) {
         const clock = createFakeClock();
         let owner = "entry-1";
-        const forward = createForward({
+        const forward = createForwarder({
             clock,
             retryAfterMs: 1_000,
             shard: () => undefined,
@@ -129,7 +129,7 @@
         const answer = forward.run({
             local: () => never,
             remote: address => address === "entry-1" ? never : Promise.resolve(address),
-            patienceMs: 2_500,
+            totalTimeoutMs: 2_500,
         });
         const beganAtMs = clock.monotonicMs();
         void answer.then(by => {
@@ -172,7 +172,13 @@
             ownerVersion: () => 0,
             onOwner: () => {},
         });
-        peers.take([{ table: memberTable, part: "", key: peer.memberId, value: JSON.stringify(peer), version: 1 }]);
+        peers.applyRows([{
+            table: memberTable,
+            part: "",
+            key: peer.memberId,
+            value: JSON.stringify(peer),
+            version: 1,
+        }]);
         void peers.ping(peer);
         await clock.advance(afterMs);
         void peers.ping(peer);
@@ -214,9 +220,9 @@
             job.stored = true;
         },
         consider: () => {},
-        takeBack: () => {},
-        endedKnown: Promise.resolve(new Map()),
-        endOfOffice: new Promise<never>(() => {}),
+        dropPlannedStarts: () => {},
+        endedJobs: Promise.resolve(new Map()),
+        ownershipLost: new Promise<never>(() => {}),
     });
     const submission = {
         jobId: jobIdOf(1),
--- a/features/steps/shardUpkeepSteps.ts
+++ b/features/steps/shardUpkeepSteps.ts
@@ -29,8 +29,8 @@
         fencingToken: 7,
         workers: new Map(),
         stop: () => {},
-        lose: () => {},
-        settleMs: 0,
+        onIncarnationEnded: () => {},
+        staleOrderWindowMs: 0,
         rows: {
             read: async () => new Map(),
             record: async () => {
--- a/features/steps/tokenSteps.ts
+++ b/features/steps/tokenSteps.ts
@@ -295,7 +295,7 @@
         meter: quietMeter,
         jobOf: () => undefined,
         onChange: () => {},
-        othersAt: () => 0,
+        countOthersAt: () => 0,
         stop: () => {},
         onStuck: () => {},
         stopUnknown: () => {},
@@ -304,7 +304,7 @@
         onAbsent: () => {},
     });
     const listed = { taskName: run.task.name, run: run.run, checkpoint: "", percent: 100, figure: 1_000 };
-    watch.take(worker, { outcome: "done", clockMs: 0, running: [listed], ended: [] }, clock.monotonicMs());
+    watch.applyLook(worker, { outcome: "done", clockMs: 0, running: [listed], ended: [] }, clock.monotonicMs());
     run.phase = runPhases.starting;
     part(this).takesStarts = allowsStart(worker);
 });
--- a/features/steps/usersPlatformSteps.ts
+++ b/features/steps/usersPlatformSteps.ts
@@ -129,7 +129,7 @@
         acknowledgedEnd: 57,
         deadlineMs: 9_000,
         waitMs: 100,
-        patienceMs: 350,
+        answerTimeoutMs: 350,
     });
     part(this).look = JSON.stringify(look);
 });
--- a/packages/puffinarch-cli/src/client.ts
+++ b/packages/puffinarch-cli/src/client.ts
@@ -4,13 +4,13 @@
 import { type Client, Code, ConnectError, createClient } from "@connectrpc/connect";
 import { createConnectTransport } from "@connectrpc/connect-node";
 import { FailureSchema } from "@puffinarch/schema";
-import { die, errorAnswers, type ErrorKind, errorOf, type Failure } from "puffinarch";
+import { die, type ErrorKind, errorOf, errorResponses, type Failure } from "puffinarch";
 import type { CliSettings } from "./settings.js";
 
 /** Calls of one service through whichever endpoint answers. */
 export type Caller<S extends DescService> = <T>(call: (client: Client<S>) => Promise<T>) => Promise<T>;
 
-const isKind = (kind: string): kind is ErrorKind => kind in errorAnswers;
+const isKind = (kind: string): kind is ErrorKind => kind in errorResponses;
 
 /**
  * Reads the failure that a daemon attached to its answer; undefined where the error is not a daemon's.
--- a/packages/puffinarch-cli/src/program.ts
+++ b/packages/puffinarch-cli/src/program.ts
@@ -1,7 +1,7 @@
 /** The command-line tool as a function, so that tests can run it in their own process. */
 
 import { Command, CommanderError } from "commander";
-import { errorAnswers, type Failure, failureOf } from "puffinarch";
+import { errorResponses, type Failure, failureOf } from "puffinarch";
 import { addClusterCommands } from "./commands/cluster.js";
 import { addConfigurationCommands } from "./commands/configuration.js";
 import { addJobCommands } from "./commands/job.js";
@@ -73,10 +73,10 @@
     }
     catch (error) {
         if (error instanceof CommanderError) {
-            return error.exitCode === 0 ? 0 : errorAnswers.invalid.exitCode;
+            return error.exitCode === 0 ? 0 : errorResponses.invalid.exitCode;
         }
         const failure = failureOf(error);
         showFailure(output, failure);
-        return errorAnswers[failure.kind].exitCode;
+        return errorResponses[failure.kind].exitCode;
     }
 };
--- a/packages/puffinarch/src/core/deputy.ts
+++ b/packages/puffinarch/src/core/deputy.ts
@@ -5,7 +5,7 @@
 
 import { sessionKey, type SessionRow } from "../types/ownership.js";
 import type { Clock, Log, Meter, TableStore } from "../types/ports.js";
-import { pick } from "../utils/rendezvous.js";
+import { pickMember } from "../utils/rendezvous.js";
 import type { Membership } from "./membership.js";
 
 /** Promises to sessions that named this one, and their fencing. */
@@ -68,7 +68,7 @@
     const isPicked = (session: SessionRow): boolean => {
         const live = membership.liveSessions().filter(each => each.sessionId !== session.sessionId);
         const near = live.filter(each => each.dataCentre === session.dataCentre);
-        return pick(session.sessionId, (near.length > 0 ? near : live).map(each => each.sessionId)) === ownId();
+        return pickMember(session.sessionId, (near.length > 0 ? near : live).map(each => each.sessionId)) === ownId();
     };
 
     const mayFence = (session: SessionRow): boolean => {
--- a/packages/puffinarch/src/core/ownership.ts
+++ b/packages/puffinarch/src/core/ownership.ts
@@ -7,7 +7,7 @@
 import { sessionKey, type Unit, unitKey, type UnitKind, unitKinds, type UnitRow } from "../types/ownership.js";
 import type { Clock, Log, Meter, TableStore, VmList } from "../types/ports.js";
 import { vmRoles } from "../types/ports.js";
-import { pick } from "../utils/rendezvous.js";
+import { pickMember } from "../utils/rendezvous.js";
 import { sleep } from "../utils/time.js";
 import type { Membership, OwnedUnit } from "./membership.js";
 import type { Session } from "./session.js";
@@ -105,7 +105,7 @@
         }
         const near = live.filter(each => each.dataCentre === unit.dataCentre);
         const members = near.length > 0 || unit.kind !== unitKinds.home ? near : live;
-        return pick(unit.key, members.map(each => each.sessionId));
+        return pickMember(unit.key, members.map(each => each.sessionId));
     };
 
     const isFree = (unit: OwnedUnit | undefined): boolean => {
--- a/packages/puffinarch/src/core/placer.ts
+++ b/packages/puffinarch/src/core/placer.ts
@@ -5,7 +5,7 @@
 import type { Placement, TaskOffer } from "../types/peer.js";
 import type { Clock, Random } from "../types/ports.js";
 import { add, noResources, type Resources } from "../types/resources.js";
-import { pick } from "../utils/rendezvous.js";
+import { pickMember } from "../utils/rendezvous.js";
 import type { TaskEntry } from "./homeState.js";
 import { urgentPriority } from "./roomMaker.js";
 import { createRooms, type Room, type Rooms } from "./rooms.js";
@@ -125,7 +125,7 @@
             return owner;
         }
         const key = item.gang ? task.job.spec.jobId : task.taskId;
-        return pick(key, rooms.owners());
+        return pickMember(key, rooms.owners());
     };
 
     const placeSingles = async (items: readonly QueueItem[], rooms: Rooms): Promise<number> => {
--- a/packages/puffinarch/src/core/shard/acceptance.ts
+++ b/packages/puffinarch/src/core/shard/acceptance.ts
@@ -10,7 +10,7 @@
 import { sleep } from "../../utils/time.js";
 import { type Account, type Accounts, amountAboveCap, returnShare, takeShare } from "./accounts.js";
 import type { CommitLog } from "./commitLog.js";
-import { cancelJob, heldBy, newJob, type ShardJob } from "./jobBook.js";
+import { cancelJob, newJob, reservedResources, type ShardJob } from "./jobBook.js";
 import type { EndedJob } from "./jobRows.js";
 import type { ShardSettings } from "./shardSettings.js";
 
@@ -32,11 +32,11 @@
     /** Requests advice and plans starts for the job. */
     readonly consider: (job: ShardJob) => void;
     /** Drops the starts that were planned for the job. */
-    readonly takeBack: (job: ShardJob) => void;
+    readonly dropPlannedStarts: (job: ShardJob) => void;
     /** Jobs that ended under former owners, by ID. */
-    readonly endedKnown: Promise<ReadonlyMap<string, EndedJob>>;
+    readonly endedJobs: Promise<ReadonlyMap<string, EndedJob>>;
     /** Rejects once this daemon no longer owns the shard. */
-    readonly endOfOffice: Promise<never>;
+    readonly ownershipLost: Promise<never>;
 }
 
 /**
@@ -52,7 +52,7 @@
 /** Refuses jobs with a task or gang that exceeds the organisation's cap by itself, since it would wait forever. */
 const requireWithinCap = ({ steps }: JobSubmission, { organisation, cap }: Account): void => {
     for (const [index, step] of steps.entries()) {
-        const atOnce = step.gang ? scale(heldBy(step), step.count) : heldBy(step);
+        const atOnce = step.gang ? scale(reservedResources(step), step.count) : reservedResources(step);
         const amount = amountAboveCap(cap, atOnce);
         if (amount !== undefined) {
             die(
@@ -76,8 +76,20 @@
  * await submit(submission);
  */
 export const createAcceptance = (options: AcceptanceOptions): (submission: JobSubmission) => Promise<void> => {
-    const { clock, log, meter, settings, jobs, queueOf, accounts, commits, commit, consider, endedKnown, endOfOffice } =
-        options;
+    const {
+        clock,
+        log,
+        meter,
+        settings,
+        jobs,
+        queueOf,
+        accounts,
+        commits,
+        commit,
+        consider,
+        endedJobs,
+        ownershipLost,
+    } = options;
     let { nextOrder } = options;
 
     const rejectSubmission = (): never =>
@@ -86,7 +98,7 @@
     /** Removes a job that was part of no commit batch. */
     const discard = (job: ShardJob): void => {
         jobs.delete(job.submission.jobId);
-        options.takeBack(job);
+        options.dropPlannedStarts(job);
         if (!job.beyondShare) {
             returnShare(job.account);
         }
@@ -103,7 +115,7 @@
         const { jobId } = job.submission;
         const written = commit(job);
         while (!job.stored) {
-            await Promise.race([written, endOfOffice, sleep(clock, stallCheckIntervalMs)]);
+            await Promise.race([written, ownershipLost, sleep(clock, stallCheckIntervalMs)]);
             if (!job.stored && commits.stalledMs() > settings.refuseStalledMs && commits.withdraw(jobId)) {
                 discard(job);
             }
@@ -138,7 +150,7 @@
             }
             return;
         }
-        const ended = (await endedKnown).get(submission.jobId);
+        const ended = (await endedJobs).get(submission.jobId);
         if (ended !== undefined || jobs.has(submission.jobId)) {
             requireSameOrganisation(submission, ended?.organisation ?? "");
             // The job ended under a former owner, or another request with the same ID was accepted meanwhile.
--- a/packages/puffinarch/src/core/shard/adviceBreadth.ts
+++ b/packages/puffinarch/src/core/shard/adviceBreadth.ts
@@ -8,11 +8,11 @@
 import type { ShardSettings } from "./shardSettings.js";
 
 /** Chooses the number of names from the share of named workers that the advisor has approved for a queue's steps so far. */
-export interface AdviceBreadth {
+export interface AdviceCallSizer {
     /** Gives the maximum number of workers to name for a step with this number of waiting tasks. */
     namesFor(step: ShardStep, waiting: number): number;
     /** Records an answer; `firstNamed` are the workers that were named for the step for the first time. */
-    note(step: ShardStep, firstNamed: readonly string[], answer: AdviceAnswer): void;
+    recordAnswer(step: ShardStep, firstNamed: readonly string[], answer: AdviceAnswer): void;
 }
 
 /** Approved share that is assumed for queues without answers. */
@@ -27,9 +27,9 @@
  * const sizer = createAdviceCallSizer(settings);
  * sizer.namesFor(step, 30); // 60 before the first answer
  */
-export const createAdviceBreadth = (
+export const createAdviceCallSizer = (
     { usualAdviceWorkers, maxAdviceWorkers }: Pick<ShardSettings, "usualAdviceWorkers" | "maxAdviceWorkers">,
-): AdviceBreadth => {
+): AdviceCallSizer => {
     const approvedShares = new Map<string, number>();
     const keyOf = ({ occurrence }: ShardStep): string => occurrence.job.queue.key;
 
@@ -38,7 +38,7 @@
             const needed = Math.ceil(waiting / Math.max(0.01, approvedShares.get(keyOf(step)) ?? unknownShare));
             return Math.min(maxAdviceWorkers, Math.max(usualAdviceWorkers, needed));
         },
-        note: (step, firstNamed, { good }) => {
+        recordAnswer: (step, firstNamed, { good }) => {
             if (firstNamed.length === 0) {
                 return;
             }
--- a/packages/puffinarch/src/core/shard/adviceDesk.ts
+++ b/packages/puffinarch/src/core/shard/adviceDesk.ts
@@ -11,7 +11,7 @@
 import { failureOf } from "../../utils/errors.js";
 
 /** A call that waits for a lane. */
-export interface AdviceOrder {
+export interface AdviceCall {
     readonly stepName: string;
     readonly workerIds: readonly string[];
     /** Time that the advisor is expected to take. */
@@ -21,10 +21,10 @@
     readonly onAnswer: (answer: AdviceAnswer) => void;
     readonly onFailure: () => void;
     /** Returns false once the answer is no longer needed. */
-    readonly wanted: () => boolean;
+    readonly isNeeded: () => boolean;
 }
 
-interface QueuedCall extends AdviceOrder {
+interface QueuedCall extends AdviceCall {
     readonly askedAtMs: number;
     /** Number of lanes that it was given to so far, and of those that have neither answered nor failed yet. */
     lanesAsked: number;
@@ -40,7 +40,7 @@
 }
 
 /** Dependencies of a dispatcher of advisor calls. */
-export interface AdviceDeskOptions {
+export interface AdviceDispatcherOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
@@ -50,9 +50,9 @@
 }
 
 /** Queues calls and gives each to a free lane. */
-export interface AdviceDesk {
+export interface AdviceDispatcher {
     /** Queues a call and reports its answer or failure through its callbacks. */
-    ask(call: AdviceOrder): void;
+    enqueue(call: AdviceCall): void;
     /** Dispatches queued calls again, after the set of lanes has changed. */
     wake(): void;
     /** Drops all queued calls and reports no further results. */
@@ -110,7 +110,9 @@
  * @example
  * const dispatcher = createAdviceDispatcher({ clock, log, meter, lanes: () => ["entry-1"], call });
  */
-export const createAdviceDesk = ({ clock, log, meter, lanes, call }: AdviceDeskOptions): AdviceDesk => {
+export const createAdviceDispatcher = (
+    { clock, log, meter, lanes, call }: AdviceDispatcherOptions,
+): AdviceDispatcher => {
     const queue: QueuedCall[] = [];
     /** Number of calls that were given to a lane so far. */
     let dispatched = 0;
@@ -285,7 +287,7 @@
             if (queuedCall === undefined) {
                 return;
             }
-            if (queuedCall.wanted()) {
+            if (queuedCall.isNeeded()) {
                 void runCall(lane, queuedCall);
             }
             else {
@@ -295,7 +297,7 @@
     };
 
     return {
-        ask: queuedCall => {
+        enqueue: queuedCall => {
             queue.push({
                 ...queuedCall,
                 askedAtMs: clock.monotonicMs(),
--- a/packages/puffinarch/src/core/shard/askAdvice.ts
+++ b/packages/puffinarch/src/core/shard/askAdvice.ts
@@ -3,46 +3,46 @@
 import type { AdviceAnswer } from "../../types/cellPorts.js";
 import type { Clock, Log, Meter } from "../../types/ports.js";
 import { fits } from "../../types/resources.js";
-import { createAdviceBreadth } from "./adviceBreadth.js";
-import type { AdviceDesk } from "./adviceDesk.js";
-import { avoidedByAll, failedLately } from "./avoidance.js";
-import { ignoresRests } from "./blockedSteps.js";
-import { allowsAnother, countRuns, isEligible, ticketFor } from "./eligible.js";
-import { hasEnded, heldBy, isWaiting, type ShardStep, stepNameOf } from "./jobBook.js";
-import type { Reservation, RoomView } from "./roomView.js";
+import { createAdviceCallSizer } from "./adviceBreadth.js";
+import type { AdviceDispatcher } from "./adviceDesk.js";
+import { avoidedByAll, failedRecently } from "./avoidance.js";
+import { mayUseRestingWorkers } from "./blockedSteps.js";
+import { allowsAnotherRun, countRuns, isEligible, ticketFor } from "./eligible.js";
+import { hasEnded, isWaiting, reservedResources, type ShardStep, stepNameOf } from "./jobBook.js";
+import type { CapacityView, Reservation } from "./roomView.js";
 import type { ShardSettings } from "./shardSettings.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
 /** Dependencies of a requester of advice. */
-export interface AskAdviceOptions {
+export interface AdviceRequesterOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly meter: Meter;
     readonly settings: ShardSettings;
     readonly workers: ReadonlyMap<string, ShardWorker>;
-    readonly desk: AdviceDesk;
+    readonly dispatcher: AdviceDispatcher;
     /** Called after an answer of the advisor was recorded. */
     readonly onAnswer: () => void;
 }
 
 /** A step that may need tickets, and where its waiting tasks are expected to run. */
-export interface AdviceWish {
+export interface TicketRequest {
     readonly step: ShardStep;
     /** Number of tasks that found no worker with both capacity and a valid ticket. */
     readonly waiting: number;
     readonly reservations: readonly Reservation[];
-    readonly view: RoomView;
+    readonly view: CapacityView;
     readonly nowMs: number;
 }
 
 /** Requests advice and tickets for steps. */
-export interface AdviceAsker {
+export interface AdviceRequester {
     /** Requests missing tickets for workers that have capacity or are about to have some. */
-    askFor(request: AdviceWish): void;
+    requestTickets(request: TicketRequest): void;
     /** Reserves capacity on the workers named in a call under way, so that less urgent steps do not request tickets for it too. */
-    reserveRequested(request: AdviceWish): void;
+    reserveRequested(request: TicketRequest): void;
     /** Requests advice for a step that is not ready yet. */
-    requestAhead(step: ShardStep, view: RoomView, nowMs: number): void;
+    requestAhead(step: ShardStep, view: CapacityView, nowMs: number): void;
 }
 
 /** Pause before the next call for a step after a failed one. */
@@ -61,17 +61,17 @@
  * const requester = createAdviceRequester({ clock, log, meter, settings, workers, dispatcher, onAnswer: () => placer.runPass() });
  * requester.requestTickets({ step, waiting: 2, reservations: [], view, nowMs });
  */
-export const createAdviceAsker = (options: AskAdviceOptions): AdviceAsker => {
-    const { clock, log, meter, settings, workers, desk, onAnswer } = options;
+export const createAdviceRequester = (options: AdviceRequesterOptions): AdviceRequester => {
+    const { clock, log, meter, settings, workers, dispatcher, onAnswer } = options;
 
-    const callSize = createAdviceBreadth(settings);
+    const callSize = createAdviceCallSizer(settings);
 
     const recordAnswer = (step: ShardStep, named: readonly string[], answer: AdviceAnswer): void => {
         const { advice } = step;
         advice.inFlight = false;
-        callSize.note(step, named.filter(workerId => !advice.asked.has(workerId)), answer);
+        callSize.recordAnswer(step, named.filter(workerId => !advice.askedWorkerIds.has(workerId)), answer);
         for (const workerId of named) {
-            advice.asked.add(workerId);
+            advice.askedWorkerIds.add(workerId);
         }
         const validUntilMs = clock.monotonicMs() + answer.validMs;
         for (const { workerId, ticket } of answer.good) {
@@ -101,12 +101,12 @@
         newestCalls.set(step, { named, sinceMs: clock.monotonicMs() });
         meter.count("adviceCalls");
         meter.count("adviceNames", named.length);
-        desk.ask({
+        dispatcher.enqueue({
             stepName: stepNameOf(step),
             workerIds: named,
             costMs: costOf(step, named.length),
             priority: step.occurrence.job.queue.priority,
-            wanted: () => !hasEnded(step.occurrence.job),
+            isNeeded: () => !hasEnded(step.occurrence.job),
             onAnswer: answer => {
                 recordAnswer(step, named, answer);
                 onAnswer();
@@ -128,7 +128,7 @@
         || roomOf(right).cpuMillis - roomOf(left).cpuMillis;
 
     /** Workers with reserved capacity that is free by the end of a call made now, and whose tickets expire too soon to use it. */
-    const reservedSoon = ({ step, reservations, nowMs }: AdviceWish): readonly string[] => {
+    const reservedSoon = ({ step, reservations, nowMs }: TicketRequest): readonly string[] => {
         const leadMs = costOf(step, 1) + queueAllowanceMs;
         const names = new Set<string>();
         for (const { workerId, freeAtMs } of reservations) {
@@ -141,25 +141,26 @@
     };
 
     /** Workers to name: where no advice is known yet, any eligible ones, else approved ones with capacity whose tickets are missing. */
-    const namesFor = (request: AdviceWish): readonly string[] => {
+    const namesFor = (request: TicketRequest): readonly string[] => {
         const { step, waiting, view, nowMs } = request;
         const { advice, spec } = step;
-        const held = heldBy(spec);
+        const held = reservedResources(spec);
         const usable = [...workers.values()].filter(worker =>
             isOpen(worker, nowMs, Infinity) && isEligible(worker, step)
         );
         // Resting workers are included, since tasks avoid workers that failed them also in favour of unasked resting ones.
-        const unasked = usable.filter(worker => !advice.asked.has(worker.workerId));
+        const unasked = usable.filter(worker => !advice.askedWorkerIds.has(worker.workerId));
         const maxNames = callSize.namesFor(step, waiting);
-        if (advice.asked.size === 0) {
+        if (advice.askedWorkerIds.size === 0) {
             return unasked.sort(byFreeCapacity(step, nowMs)).slice(0, maxNames).map(worker => worker.workerId);
         }
         const runs = countRuns(step);
         // A call made only once a wait for reserved capacity, a rest or other workers is over would prolong that wait.
         const leadMs = costOf(step, 1) + queueAllowanceMs;
         const hasCapacity = (worker: ShardWorker): boolean =>
-            fits(held, view.roomFor(worker, step, leadMs)) && allowsAnother(spec, runs.get(worker.workerId) ?? 0);
-        const mayUseResting = step.tasks.some(task => isWaiting(task) && ignoresRests(task, nowMs + leadMs));
+            fits(held, view.capacityFor(worker, step, leadMs))
+            && allowsAnotherRun(spec, runs.get(worker.workerId) ?? 0);
+        const mayUseResting = step.tasks.some(task => isWaiting(task) && mayUseRestingWorkers(task, nowMs + leadMs));
         const avoided = avoidedByAll(step, { workers, nowMs: nowMs + leadMs });
         const approved = usable.filter(worker =>
             isOpen(worker, nowMs, mayUseResting ? Infinity : leadMs) && advice.good.has(worker.workerId)
@@ -168,7 +169,7 @@
         ).sort(byFreeCapacity(step, nowMs));
         const named = approved.slice(0, waiting + spareNames);
         const tasks = step.tasks.filter(isWaiting);
-        const hasFailed = (workerId: string): boolean => tasks.some(task => failedLately(task, workerId, nowMs));
+        const hasFailed = (workerId: string): boolean => tasks.some(task => failedRecently(task, workerId, nowMs));
         if (named.length < waiting || named.every(worker => hasFailed(worker.workerId))) {
             const others = unasked.filter(hasCapacity).sort(byFreeCapacity(step, nowMs));
             named.push(...others.slice(0, maxNames - named.length));
@@ -185,7 +186,7 @@
     };
 
     return {
-        askFor: request => {
+        requestTickets: request => {
             const { step, nowMs } = request;
             const { advice, occurrence } = step;
             if (occurrence.job.queue.advice === undefined || advice.inFlight || advice.notBeforeMs > nowMs) {
@@ -206,10 +207,10 @@
             ) {
                 return;
             }
-            const held = heldBy(step.spec);
+            const held = reservedResources(step.spec);
             const approved = call.named.filter(workerId => step.advice.good.has(workerId));
             for (const workerId of approved.slice(0, waiting)) {
-                view.keep({ step, workerId, held, freeAtMs: nowMs, victims: [] });
+                view.reserve({ step, workerId, held, freeAtMs: nowMs, victims: [] });
             }
         },
         requestAhead: (step, view, nowMs) =>
--- a/packages/puffinarch/src/core/shard/askAhead.ts
+++ b/packages/puffinarch/src/core/shard/askAhead.ts
@@ -33,9 +33,9 @@
  * @example
  * if (shouldRequestAhead(step)) { ask(step); }
  */
-export const isTimeToAsk = (step: ShardStep): boolean => {
+export const shouldRequestAhead = (step: ShardStep): boolean => {
     const terms = step.occurrence.job.queue.advice;
-    if (terms === undefined || step.advice.inFlight || step.advice.asked.size > 0) {
+    if (terms === undefined || step.advice.inFlight || step.advice.askedWorkerIds.size > 0) {
         return false;
     }
     const { open, all, waiting } = countPredecessorTasks(step);
--- a/packages/puffinarch/src/core/shard/avoidance.ts
+++ b/packages/puffinarch/src/core/shard/avoidance.ts
@@ -4,8 +4,15 @@
  */
 
 import { add, type Resources } from "../../types/resources.js";
-import { countRuns, hasServiceAndLabel, isEligible, mightBecomeEligible, placesIn, placesNeeded } from "./eligible.js";
-import { estimatedEndMs, hasOneAttempt, isWaiting, type ShardStep, type ShardTask } from "./jobBook.js";
+import {
+    countRuns,
+    countTasksThatFit,
+    hasServiceAndLabel,
+    isEligible,
+    mightBecomeEligible,
+    minTasksToStart,
+} from "./eligible.js";
+import { estimatedEndMs, isOnLastAttempt, isWaiting, type ShardStep, type ShardTask } from "./jobBook.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
 /** A worker that failed a task within this time is chosen for it only where no other one has capacity. */
@@ -39,11 +46,11 @@
  * @example
  * failedRecently(task, "i-7f3a91c2", clock.monotonicMs());
  */
-export const failedLately = ({ failedOn }: ShardTask, workerId: string, nowMs: number): boolean =>
+export const failedRecently = ({ failedOn }: ShardTask, workerId: string, nowMs: number): boolean =>
     nowMs - (failedOn.get(workerId) ?? -Infinity) < preferOthersMs;
 
 const mightBeApproved = ({ workerId }: ShardWorker, { occurrence, advice }: ShardStep): boolean =>
-    occurrence.job.queue.advice === undefined || advice.good.has(workerId) || !advice.asked.has(workerId);
+    occurrence.job.queue.advice === undefined || advice.good.has(workerId) || !advice.askedWorkerIds.has(workerId);
 
 /**
  * Whether the step might run on a worker now, or once the worker answers again. Workers about which the advisor was not asked
@@ -51,7 +58,7 @@
  */
 const mightRun = (worker: ShardWorker, step: ShardStep, { nowMs, rack }: AvoidanceLimits): boolean =>
     mightBecomeEligible(worker, step) && !worker.entry.draining && !worker.cordoned
-    && (isOpen(worker, nowMs) || worker.unlistedAtMs === undefined && nowMs <= worker.horizonMs)
+    && (isOpen(worker, nowMs) || worker.unlistedAtMs === undefined && nowMs <= worker.leaseHorizonMs)
     && (rack === undefined || worker.entry.rack === rack) && mightBeApproved(worker, step);
 
 const shareInUse = (step: ShardStep, { workers }: AvoidanceLimits): number => {
@@ -73,10 +80,10 @@
 /** Whether other workers are expected to have capacity by `byMs` for all tasks that must start together. */
 const hasCapacityBy = (step: ShardStep, others: readonly ShardWorker[], byMs: number, nowMs: number): boolean => {
     const runs = countRuns(step);
-    let needed = placesNeeded(step);
+    let needed = minTasksToStart(step);
     for (const worker of others) {
         if (isOpen(worker, nowMs) && isEligible(worker, step)) {
-            needed -= placesIn(capacityBy(worker, byMs, nowMs), step, runs.get(worker.workerId) ?? 0);
+            needed -= countTasksThatFit(capacityBy(worker, byMs, nowMs), step, runs.get(worker.workerId) ?? 0);
         }
     }
     return needed <= 0;
@@ -91,7 +98,7 @@
     new Map(
         [...failedOn].filter(([workerId, failedAtMs]) => {
             const worker = workers.get(workerId);
-            return worker !== undefined && nowMs - failedAtMs < withinMs && worker.soundSinceMs <= failedAtMs;
+            return worker !== undefined && nowMs - failedAtMs < withinMs && worker.lastSoundSentAtMs <= failedAtMs;
         }),
     );
 
@@ -121,7 +128,7 @@
     }
     const { step } = task;
     const { nowMs } = limits;
-    if (hasOneAttempt(task)) {
+    if (isOnLastAttempt(task)) {
         const failed = failedWithin(task, lastAttemptAvoidMs, limits);
         const untilMs = Math.max(...failed.values()) + lastAttemptAvoidMs;
         const others = othersFor(task, failed, limits);
--- a/packages/puffinarch/src/core/shard/batchWriter.ts
+++ b/packages/puffinarch/src/core/shard/batchWriter.ts
@@ -19,7 +19,7 @@
     /** Version of the owner's row under this owner's claim. */
     readonly ownerVersion: number;
     /** Latency of the store's last answer before the writer was created. */
-    readonly storeMs: number;
+    readonly storeLatencyMs: number;
     /** Called with the local time of each definite answer from the store. */
     readonly onAnswer: (atMs: number) => void;
     readonly isStopped: () => boolean;
@@ -75,7 +75,7 @@
  */
 export const createBatchWriter = (options: BatchWriterOptions): BatchWriter => {
     const { clock, log, meter, store, part, ownerVersion, onAnswer, isStopped } = options;
-    let typicalAnswerMs = options.storeMs;
+    let typicalAnswerMs = options.storeLatencyMs;
 
     /** After a conflict: the version at which an earlier copy took effect; undefined if another daemon owns the shard. */
     const committedVersion = (rows: readonly Row[], { transaction }: Batch): number | undefined => {
--- a/packages/puffinarch/src/core/shard/blockedSteps.ts
+++ b/packages/puffinarch/src/core/shard/blockedSteps.ts
@@ -4,9 +4,9 @@
  * another, so all are counted from the same moment; counted separately, they could add up to more than a job may wait.
  */
 
-import { countRuns, isEligible, placesIn, placesNeeded } from "./eligible.js";
+import { countRuns, countTasksThatFit, isEligible, minTasksToStart } from "./eligible.js";
 import type { ShardStep, ShardTask } from "./jobBook.js";
-import { isKeptFrom } from "./trials.js";
+import { isBlockedByTrial } from "./trials.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
 /**
@@ -24,7 +24,8 @@
 const isUsable = (worker: ShardWorker, step: ShardStep, { workers, nowMs }: PassSnapshot): boolean => {
     const { job } = step.occurrence;
     return (job.queue.advice === undefined || step.advice.good.has(worker.workerId))
-        && isOpen(worker, nowMs, Infinity) && isEligible(worker, step) && !isKeptFrom(worker, job, { workers, nowMs });
+        && isOpen(worker, nowMs, Infinity) && isEligible(worker, step)
+        && !isBlockedByTrial(worker, job, { workers, nowMs });
 };
 
 /**
@@ -35,9 +36,9 @@
  */
 export const isBlocked = (step: ShardStep, snapshot: PassSnapshot): boolean => {
     const runs = countRuns(step);
-    let needed = placesNeeded(step);
+    let needed = minTasksToStart(step);
     for (const worker of snapshot.workers.values()) {
-        const places = placesIn(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
+        const places = countTasksThatFit(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
         if (places > 0 && isUsable(worker, step, snapshot)) {
             needed -= places;
         }
@@ -73,7 +74,7 @@
  * @example
  * isBlockedLong(step, clock.monotonicMs()); // false
  */
-export const hasWaitedLong = ({ spec, readyAtMs, blockedAtMs }: ShardStep, atMs: number): boolean =>
+export const isBlockedLong = ({ spec, readyAtMs, blockedAtMs }: ShardStep, atMs: number): boolean =>
     atMs - (spec.longRunning ? readyAtMs : blockedAtMs ?? atMs) >= maxBlockedMs;
 
 /**
@@ -82,7 +83,7 @@
  * @example
  * markBlockedLong(run.task.step, clock.monotonicMs());
  */
-export const endPatience = (step: ShardStep, nowMs: number): void => {
+export const markBlockedLong = (step: ShardStep, nowMs: number): void => {
     step.blockedAtMs = Math.min(step.blockedAtMs ?? nowMs, nowMs - maxBlockedMs);
 };
 
@@ -93,6 +94,6 @@
  * @example
  * mayUseRestingWorkers(task, clock.monotonicMs()); // false
  */
-export const ignoresRests = ({ step, failedOn }: ShardTask, atMs: number): boolean =>
+export const mayUseRestingWorkers = ({ step, failedOn }: ShardTask, atMs: number): boolean =>
     step.blockedAtMs !== undefined
     && atMs - Math.max(step.blockedAtMs, ...failedOn.values()) >= maxBlockedMs;
--- a/packages/puffinarch/src/core/shard/capView.ts
+++ b/packages/puffinarch/src/core/shard/capView.ts
@@ -3,7 +3,7 @@
 import { add, noResources, type Resources, scale } from "../../types/resources.js";
 import { type Account, tasksUnderCap, usesHalfOfCap } from "./accounts.js";
 import { maxBlockedMs } from "./blockedSteps.js";
-import { heldBy, type ShardStep, type ShardTask } from "./jobBook.js";
+import { reservedResources, type ShardStep, type ShardTask } from "./jobBook.js";
 
 /** Gangs for which part of a cap is reserved although less than half of it is used, and the local time since which this is so. */
 export type CapWaits = WeakMap<ShardStep, number>;
@@ -16,7 +16,7 @@
      */
     allowed(step: ShardStep, waiting: readonly ShardTask[]): readonly ShardTask[];
     /** Reserves the cap for a number of a step's tasks that wait for capacity, so that later steps of the pass cannot use it. */
-    keep(step: ShardStep, count: number): void;
+    reserve(step: ShardStep, count: number): void;
 }
 
 /**
@@ -43,21 +43,21 @@
 export const createCapView = (nowMs: number, waits: CapWaits): CapView => {
     const reserved = new Map<Account, Resources>();
 
-    const keep: CapView["keep"] = ({ spec, occurrence }, count) => {
+    const reserve: CapView["reserve"] = ({ spec, occurrence }, count) => {
         const { account } = occurrence.job;
-        reserved.set(account, add(reserved.get(account) ?? noResources, scale(heldBy(spec), count)));
+        reserved.set(account, add(reserved.get(account) ?? noResources, scale(reservedResources(spec), count)));
     };
 
     return {
-        keep,
+        reserve,
         allowed: (step, waiting) => {
             const { account } = step.occurrence.job;
-            const count = tasksUnderCap(account, heldBy(step.spec), reserved.get(account));
+            const count = tasksUnderCap(account, reservedResources(step.spec), reserved.get(account));
             if (!step.spec.gang || count >= waiting.length) {
                 return waiting.slice(0, count);
             }
             if (mayReserve(step, waits, nowMs)) {
-                keep(step, waiting.length);
+                reserve(step, waiting.length);
             }
             return [];
         },
--- a/packages/puffinarch/src/core/shard/cellMember.ts
+++ b/packages/puffinarch/src/core/shard/cellMember.ts
@@ -31,9 +31,9 @@
 import { sleep } from "../../utils/time.js";
 import { type CallerKeys, createCallerKeys } from "./callerKeys.js";
 import { claimShard } from "./claimShard.js";
-import { createCommitWitness } from "./commitWitness.js";
+import { createCommitMonitor } from "./commitWitness.js";
 import { createConfigurationFetch } from "./configurationFetch.js";
-import { createForward } from "./forward.js";
+import { createForwarder } from "./forward.js";
 import { handOver } from "./handOver.js";
 import { decodeOwner, unreadableOwner } from "./memberRows.js";
 import { watchOwner } from "./ownerWatch.js";
@@ -43,7 +43,7 @@
 import { type ShardOwner, startShardOwner } from "./shardOwner.js";
 import type { ShardSettings } from "./shardSettings.js";
 import { ownerKey, ownerTable } from "./shardTables.js";
-import { type ClaimReason, claimReasons, countShortOffices, settlingMs } from "./shortOffices.js";
+import { type ClaimReason, claimReasons, countShortTenures, settlingMs } from "./shortOffices.js";
 import { shortFeedWaitMs, type TableWatch, watchTable } from "./tableWatch.js";
 import { watchWorkerList } from "./workerList.js";
 
@@ -86,8 +86,8 @@
     configuration(): CellConfiguration | undefined;
     /** True while the load balancer may send callers to this daemon. */
     ready(): boolean;
-    /** Resolves once the job is durable. `patienceMs` is the longest time that the call may take, as in the calls below. */
-    submit(submission: JobSubmission, patienceMs: number): Promise<void>;
+    /** Resolves once the job is durable. `totalTimeoutMs` is the longest time that the call may take, as in the calls below. */
+    submit(submission: JobSubmission, totalTimeoutMs: number): Promise<void>;
     /**
      * Returns the name of the organisation that the API key belongs to by the newest configuration; empty for a caller without
      * a key. Fails with `unauthenticated` where the key is unknown, or is missing and the queue requires one, and with
@@ -95,9 +95,9 @@
      */
     authenticate(queue: Queue, key: string | undefined): string;
     /** Returns the job's state; undefined where the caller's organisation has no such job. */
-    jobState(job: JobReference, patienceMs: number): Promise<JobStatus | undefined>;
+    jobState(job: JobReference, totalTimeoutMs: number): Promise<JobStatus | undefined>;
     /** Cancels a job; false where the caller's organisation has no such job. */
-    cancel(job: JobReference, patienceMs: number): Promise<boolean>;
+    cancel(job: JobReference, totalTimeoutMs: number): Promise<boolean>;
     /** Number of accepted jobs in a queue of which no task has started; undefined where no recent count is available. */
     pending(queueKey: string): Promise<number | undefined>;
     /** Handlers of the calls that peers make to this daemon. */
@@ -129,7 +129,7 @@
  * A claimant that receives no page of the journal for this long gives the shard up; a store 60 times slower than usual takes
  * 0.5 s a page.
  */
-const restorePatienceMs = 2_500;
+const restoreIdleTimeoutMs = 2_500;
 /**
  * A claimant that reads the journal for this long gives the shard up as well: over a link of 20 bytes a ms it would read for
  * 56 s, while its peers need 0.1 s. Where the shard had no serving owner for longer than this before the claim, that longer time
@@ -266,7 +266,7 @@
         const startedAtMs = clock.monotonicMs();
         const claimId = `${self.memberId}/${self.incarnation}/${Math.floor(options.random.next() * 1e9)}`;
         const lastedMs = startedAtMs - ownerKnownAtMs;
-        const shortOffices = countShortOffices({ previous: knownOwner?.row, lastedMs, why });
+        const shortOffices = countShortTenures({ previous: knownOwner?.row, lastedMs, why });
         const row: OwnerRow = { ...self, claimId, shortOffices };
         log.write("info", "claimBegins", { part, seenVersion, why, shortOffices });
         return claimAndStart(row, { seenVersion });
@@ -304,13 +304,13 @@
                 owner: row,
                 seenVersion,
                 committedToken,
-                restorePatienceMs,
-                restoreWithinMs: Math.max(minRestoreBudgetMs, startedAtMs - lastServingAtMs()),
+                restoreIdleTimeoutMs,
+                restoreTimeoutMs: Math.max(minRestoreBudgetMs, startedAtMs - lastServingAtMs()),
                 wanted: () =>
                     !closed && (knownOwner?.version ?? 0) <= seenVersion
                         && clock.monotonicMs() - startedAtMs < maxClaimMs
                     || knownOwner?.row.claimId === claimId,
-                heardToken: () => knownOwner?.row.claimId === claimId ? knownOwner.version : undefined,
+                reportedToken: () => knownOwner?.row.claimId === claimId ? knownOwner.version : undefined,
                 onClaimed: fencingToken => {
                     claimedToken = fencingToken;
                     if (fencingToken > (knownOwner?.version ?? 0)) {
@@ -488,7 +488,7 @@
             }
             applyWaveRows(rows);
         },
-        onWhole: () => {},
+        onSnapshot: () => {},
     });
 
     const configurationFetch = createConfigurationFetch({
@@ -509,7 +509,7 @@
             table: ownerTable,
             parts: [part],
             onRows: applyOwnerRows,
-            onWhole: () => {
+            onSnapshot: () => {
                 ownerRead = true;
                 ownerWatch.wake();
             },
@@ -520,8 +520,8 @@
             store,
             table: memberTable,
             parts: [""],
-            onRows: peers.take,
-            onWhole: () => {
+            onRows: peers.applyRows,
+            onSnapshot: () => {
                 membersRead = true;
             },
         }),
@@ -536,11 +536,11 @@
         known: () => knownOwner,
         owns: () => owner !== undefined,
         isSettled: () => ownerRead && claimUnderWay === undefined,
-        isResting: () =>
+        isBackingOff: () =>
             clock.monotonicMs() < nextClaimAtMs || !membersRead && clock.monotonicMs() < claimWithoutMembersAtMs,
         isLeaving: () => leaving,
         readOwner,
-        witness: createCommitWitness({ clock, log, store, part }),
+        commitMonitor: createCommitMonitor({ clock, log, store, part }),
         claim,
         onAnswer: (address, { configurationVersion }) => configurationFetch.offer(address, configurationVersion),
         onOwnerAnswer: ({ pending }) => {
@@ -555,7 +555,7 @@
         onPeersPinged: () => owner?.wake(),
     });
     const lastServingAtMs = (): number =>
-        isOwnerServing ? Math.max(ownerServingAtMs, ownerWatch.wellAtMs()) : ownerServingAtMs;
+        isOwnerServing ? Math.max(ownerServingAtMs, ownerWatch.lastHealthyAtMs()) : ownerServingAtMs;
 
     const currentActivity = (): string => {
         if (claimedToken !== 0) {
@@ -570,8 +570,8 @@
         isLeaving: () => leaving,
         hasConfiguration: () => configuration !== undefined,
         owns: () => owner !== undefined,
-        wellAtMs: ownerWatch.wellAtMs,
-        ownerAtWorkAtMs: lastServingAtMs,
+        lastHealthyAtMs: ownerWatch.lastHealthyAtMs,
+        ownerServingAtMs: lastServingAtMs,
         knownOwner: () => knownOwner,
         situation: () => ({
             doing: currentActivity(),
@@ -582,13 +582,13 @@
     });
     void registerSelf();
 
-    const forward = createForward({
+    const forward = createForwarder({
         clock,
         retryAfterMs: settings.retryAfterMs,
         shard: () => owner,
         ownerAddress: () =>
             knownOwner === undefined || knownOwner.row.memberId === self.memberId ? undefined : knownOwner.row.address,
-        ownerLostMs: () => clock.monotonicMs() - Math.max(ownerWatch.wellAtMs(), lastOwnedAtMs),
+        ownerLostMs: () => clock.monotonicMs() - Math.max(ownerWatch.lastHealthyAtMs(), lastOwnedAtMs),
         onNoAnswer: ownerWatch.suspect,
     });
 
@@ -615,32 +615,32 @@
         dataCentre: self.dataCentre,
         configuration: () => configuration,
         ready: readiness.ready,
-        submit: (submission, patienceMs) =>
+        submit: (submission, totalTimeoutMs) =>
             forward.run({
                 local: shard => shard.submit(submission),
                 remote: async (address, timeoutMs) => {
                     await members.call(address, "submit", submission, timeoutMs);
                 },
-                patienceMs,
+                totalTimeoutMs,
             }),
         authenticate: (queue, key) =>
             callerKeys === undefined
                 ? die("unavailable", "no configuration is known yet", { retryAfterMs: settings.retryAfterMs })
                 : callerKeys.organisationOf(queue, key),
-        jobState: (job, patienceMs) =>
+        jobState: (job, totalTimeoutMs) =>
             forward.run({
                 local: shard => shard.jobState(job),
                 remote: async (address, timeoutMs) => {
                     const { state, failure } = await members.call(address, "jobState", job, timeoutMs);
                     return state === undefined ? undefined : { state, failure };
                 },
-                patienceMs,
+                totalTimeoutMs,
             }),
-        cancel: (job, patienceMs) =>
+        cancel: (job, totalTimeoutMs) =>
             forward.run({
                 local: shard => shard.cancel(job),
                 remote: async (address, timeoutMs) => (await members.call(address, "cancelJob", job, timeoutMs)).known,
-                patienceMs,
+                totalTimeoutMs,
             }),
         pending: async queueKey => {
             const known = await counts();
--- a/packages/puffinarch/src/core/shard/chooseWorker.ts
+++ b/packages/puffinarch/src/core/shard/chooseWorker.ts
@@ -2,12 +2,12 @@
 
 import { fits, type Resources } from "../../types/resources.js";
 import type { Step } from "../../types/work.js";
-import { avoidedBy, failedLately } from "./avoidance.js";
-import { ignoresRests } from "./blockedSteps.js";
-import { allowsAnother, countRuns, isEligible, ticketFor } from "./eligible.js";
-import { heldBy, type ShardStep, type ShardTask } from "./jobBook.js";
-import type { RoomView } from "./roomView.js";
-import { allowsTrial, companyOf, isKeptFrom, isSuspect } from "./trials.js";
+import { avoidedBy, failedRecently } from "./avoidance.js";
+import { mayUseRestingWorkers } from "./blockedSteps.js";
+import { allowsAnotherRun, countRuns, isEligible, ticketFor } from "./eligible.js";
+import { reservedResources, type ShardStep, type ShardTask } from "./jobBook.js";
+import type { CapacityView } from "./roomView.js";
+import { allowsTrial, crashExposureOf, isBlockedByTrial, isSuspect } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
 /** Capacity of a worker, what of it a step may use, and what a task would hold. */
@@ -104,7 +104,7 @@
 /** Time, capacity and policy of a choice. */
 export interface ChoiceLimits {
     readonly nowMs: number;
-    readonly view: RoomView;
+    readonly view: CapacityView;
     readonly packing: Packing;
     /** Rack that the tasks must stay on; undefined for any. */
     readonly rack?: string;
@@ -160,7 +160,7 @@
 ): Chooser => {
     const { spec } = step;
     const { view, packing } = limits;
-    const held = heldBy(spec);
+    const held = reservedResources(spec);
     const runs = countRuns(step);
     const usable: Candidate[] = [];
     const { job } = step.occurrence;
@@ -171,24 +171,24 @@
         if (
             (open ? hasTicket : isOpen(worker, limits.nowMs, Infinity)) && isEligible(worker, step)
             && (limits.rack === undefined || worker.entry.rack === limits.rack)
-            && !isKeptFrom(worker, job, { workers, nowMs: limits.nowMs })
+            && !isBlockedByTrial(worker, job, { workers, nowMs: limits.nowMs })
         ) {
             usable.push({
                 worker,
                 open,
                 hasTicket,
                 fixed: fixedScore(worker, step) - interferenceOf(worker, spec)
-                    - crashExposurePenalty * companyOf(worker, job, suspect),
+                    - crashExposurePenalty * crashExposureOf(worker, job, suspect),
                 runs: runs.get(worker.workerId) ?? 0,
             });
         }
     }
 
     const hasCapacityFor = ({ worker, runs: runsHere }: Candidate): boolean =>
-        allowsAnother(spec, runsHere) && fits(held, view.roomFor(worker, step));
+        allowsAnotherRun(spec, runsHere) && fits(held, view.capacityFor(worker, step));
 
     const score = ({ worker, fixed, runs: runsHere }: Candidate): number => {
-        const offer = { capacity: worker.entry.capacity, room: view.roomFor(worker, step), held };
+        const offer = { capacity: worker.entry.capacity, room: view.capacityFor(worker, step), held };
         const togetherScore = !spec.longRunning && runsHere > 0 ? togetherBonus : 0;
         const reservedPenalty = runsHere === 0 && view.occupiesReserved(worker, step) ? reservedCapacityPenalty : 0;
         return fixed + packings[packing](offer) + togetherScore - reservedPenalty;
@@ -201,7 +201,7 @@
             let best: ShardWorker | undefined;
             let bestScore = -Infinity;
             // A copy never uses a resting worker, since its task already runs.
-            const mayUseResting = task.runs.length === 0 && ignoresRests(task, nowMs);
+            const mayUseResting = task.runs.length === 0 && mayUseRestingWorkers(task, nowMs);
             for (const candidate of usable) {
                 const { worker, open, hasTicket } = candidate;
                 if (
@@ -214,7 +214,7 @@
                     continue;
                 }
                 const value = score(candidate) - (open ? 0 : restingPenalty)
-                    - (failedLately(task, worker.workerId, nowMs) ? recentFailurePenalty : 0);
+                    - (failedRecently(task, worker.workerId, nowMs) ? recentFailurePenalty : 0);
                 if (value > bestScore) {
                     best = worker;
                     bestScore = value;
--- a/packages/puffinarch/src/core/shard/claimShard.ts
+++ b/packages/puffinarch/src/core/shard/claimShard.ts
@@ -21,15 +21,15 @@
     /** Returns false once the claim has to be abandoned. */
     readonly wanted: () => boolean;
     /** Returns this claim's version of the owner row once a peer or a change feed has reported it, possibly before the store's answer. */
-    readonly heardToken: () => number | undefined;
+    readonly reportedToken: () => number | undefined;
     /** This claim's version of the owner row where it has already taken effect; undefined where it is still to be written. */
     readonly committedToken?: number | undefined;
     /** Called when the claim has taken effect, before the rows are read. */
     readonly onClaimed: (fencingToken: number) => void;
     /** Gives up once no page of rows has arrived for this long, so that a daemon with a better connection can claim. */
-    readonly restorePatienceMs: number;
+    readonly restoreIdleTimeoutMs: number;
     /** Gives up once reading all rows has taken this long, even if pages keep arriving. */
-    readonly restoreWithinMs: number;
+    readonly restoreTimeoutMs: number;
 }
 
 /** A claimed shard with all its rows. */
@@ -70,7 +70,7 @@
         if (result.outcome === "committed") {
             return result.version;
         }
-        const heard = options.heardToken();
+        const heard = options.reportedToken();
         if (heard !== undefined) {
             return heard;
         }
@@ -109,8 +109,8 @@
     const read = await readAllRows({
         ...options,
         table: journalTable,
-        patienceMs: options.restorePatienceMs,
-        withinMs: options.restoreWithinMs,
+        patienceMs: options.restoreIdleTimeoutMs,
+        withinMs: options.restoreTimeoutMs,
     });
     if (read === undefined) {
         return undefined;
--- a/packages/puffinarch/src/core/shard/commitWitness.ts
+++ b/packages/puffinarch/src/core/shard/commitWitness.ts
@@ -11,7 +11,7 @@
 import { journalTable, sequenceKey } from "./shardTables.js";
 
 /** Dependencies of a commit monitor. */
-export interface CommitWitnessOptions {
+export interface CommitMonitorOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly store: RowStore;
@@ -19,7 +19,7 @@
 }
 
 /** Follows the version of a shard's newest commit while it is asked for it. */
-export interface CommitWitness {
+export interface CommitMonitor {
     /** Returns true once the store has shown no new commit for `quietMs`; reads the store at most twice a second. */
     isQuiet(): Promise<boolean>;
     /** Discards what was read, so that `isQuiet` returns true no sooner than `quietMs` later. */
@@ -44,7 +44,7 @@
  * const monitor = createCommitMonitor({ clock, log, store, part: "shard-0" });
  * await monitor.isQuiet(); // false at first
  */
-export const createCommitWitness = ({ clock, log, store, part }: CommitWitnessOptions): CommitWitness => {
+export const createCommitMonitor = ({ clock, log, store, part }: CommitMonitorOptions): CommitMonitor => {
     let seen: SeenBatch | undefined;
     let readAtMs = -Infinity;
 
--- a/packages/puffinarch/src/core/shard/correlatedCrashes.ts
+++ b/packages/puffinarch/src/core/shard/correlatedCrashes.ts
@@ -17,7 +17,7 @@
      */
     answered(incarnation: WorkerIncarnation): void;
     /** Counts the workers that fell silent at the same moment and had not just started a task of the job. */
-    othersAt(atMs: number, job: ShardJob): number;
+    countOthersAt(atMs: number, job: ShardJob): number;
 }
 
 /** Workers that go down together lose their connections together; this daemon notices all of them within this time. */
@@ -58,7 +58,7 @@
         answered: incarnation => {
             byIncarnation.delete(incarnationKey(incarnation));
         },
-        othersAt: (atMs, job) => {
+        countOthersAt: (atMs, job) => {
             let others = 0;
             for (const silent of byIncarnation.values()) {
                 others += Math.abs(silent.atMs - atMs) <= coincidenceWindowMs && !silent.jobs.has(job) ? 1 : 0;
--- a/packages/puffinarch/src/core/shard/crashes.ts
+++ b/packages/puffinarch/src/core/shard/crashes.ts
@@ -80,7 +80,7 @@
     );
     // Over a broken link the silence is noticed long after the crash, so runs that no look has shown at work are suspects too.
     const justStarted = sent.filter(run =>
-        !run.shown || worker.answeredAtMs - (beganAtMs(run) ?? -Infinity) < atWorkMs
+        !run.wasListed || worker.answeredAtMs - (beganAtMs(run) ?? -Infinity) < atWorkMs
     );
     const possible = justStarted.length > 0
         ? justStarted
@@ -164,7 +164,7 @@
  * @example
  * recordConfirmedRuns(crashedRuns(worker, nowMs)).forEach(changed);
  */
-export const noteConfirmed = (runs: readonly CrashedRun[]): readonly ShardJob[] => {
+export const recordConfirmedRuns = (runs: readonly CrashedRun[]): readonly ShardJob[] => {
     const noted = runs.filter(({ task, confirmed }) =>
         confirmed && task.crashes + task.crashesExcused + task.unresolvedLosses.length > 0
     );
@@ -191,7 +191,10 @@
  * @example
  * if (awaitsCrashConfirmation(task, clock.monotonicMs())) { return; }
  */
-export const awaitsVerdict = ({ crashes, crashesExcused, unresolvedLosses }: ShardTask, nowMs: number): boolean => {
+export const awaitsCrashConfirmation = (
+    { crashes, crashesExcused, unresolvedLosses }: ShardTask,
+    nowMs: number,
+): boolean => {
     const open = unresolvedLosses.filter(({ lostAtMs }) => nowMs - lostAtMs < maxConfirmationWaitMs).length;
     return open > 0 && crashes + crashesExcused + open >= crashesToGiveUp;
 };
@@ -202,7 +205,7 @@
  * @example
  * isNearCrashLimit(task); // false for a task that was started once
  */
-export const isNearEnd = ({ crashes, crashesExcused }: ShardTask): boolean =>
+export const isNearCrashLimit = ({ crashes, crashesExcused }: ShardTask): boolean =>
     crashes >= crashesToGiveUp || crashes + crashesExcused >= maxCrashes - 1;
 
 /**
@@ -212,7 +215,7 @@
  * @example
  * if (clearCrashesIfSound(run, clock.monotonicMs())) { onChange(job); }
  */
-export const showSound = (run: ShardRun, nowMs: number): boolean => {
+export const clearCrashesIfSound = (run: ShardRun, nowMs: number): boolean => {
     const { task } = run;
     const counted = task.crashes + task.crashesExcused + task.possibleCrashes;
     if (counted === 0 || nowMs - (beganAtMs(run) ?? nowMs) < soundAfterMs) {
--- a/packages/puffinarch/src/core/shard/eligible.ts
+++ b/packages/puffinarch/src/core/shard/eligible.ts
@@ -3,7 +3,7 @@
 import { fits, type Resources, subtract } from "../../types/resources.js";
 import type { Step } from "../../types/work.js";
 import { tasksUnderCap } from "./accounts.js";
-import { heldBy, type ShardStep } from "./jobBook.js";
+import { reservedResources, type ShardStep } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** A ticket that is valid for less than this might have expired when the worker receives it. */
@@ -31,7 +31,7 @@
  * @example
  * allowsAnotherRun(step.spec, countRuns(step).get("i-7f3a91c2") ?? 0);
  */
-export const allowsAnother = ({ maxPerWorker }: Step, runsHere: number): boolean =>
+export const allowsAnotherRun = ({ maxPerWorker }: Step, runsHere: number): boolean =>
     maxPerWorker === 0 || runsHere < maxPerWorker;
 
 /**
@@ -40,11 +40,11 @@
  * @example
  * countTasksThatFit(roomOf(worker), step, countRuns(step).get(worker.workerId) ?? 0);
  */
-export const placesIn = (room: Resources, { spec }: ShardStep, runsHere: number): number => {
-    const held = heldBy(spec);
+export const countTasksThatFit = (room: Resources, { spec }: ShardStep, runsHere: number): number => {
+    const held = reservedResources(spec);
     let left = room;
     let places = 0;
-    while (places < spec.count && allowsAnother(spec, runsHere + places) && fits(held, left)) {
+    while (places < spec.count && allowsAnotherRun(spec, runsHere + places) && fits(held, left)) {
         left = subtract(left, held);
         places += 1;
     }
@@ -57,7 +57,7 @@
  * @example
  * minTasksToStart(step); // all members of a gang, else 1
  */
-export const placesNeeded = ({ spec, tasks }: ShardStep): number => spec.gang ? tasks.length : 1;
+export const minTasksToStart = ({ spec, tasks }: ShardStep): number => spec.gang ? tasks.length : 1;
 
 /**
  * Tells whether the cap of the organisation prevents the start of any task of a step, or of a whole gang.
@@ -66,7 +66,7 @@
  * if (isAtCap(step)) { return; }
  */
 export const isAtCap = (step: ShardStep): boolean =>
-    tasksUnderCap(step.occurrence.job.account, heldBy(step.spec)) < placesNeeded(step);
+    tasksUnderCap(step.occurrence.job.account, reservedResources(step.spec)) < minTasksToStart(step);
 
 /**
  * Gives the ticket to send with a start of the step: empty where the queue needs none, undefined where no valid one is known.
@@ -89,7 +89,7 @@
  * suits(worker, step);
  */
 export const isEligible = (worker: ShardWorker, step: ShardStep): boolean =>
-    hasServiceAndLabel(worker, step) && fits(heldBy(step.spec), worker.entry.capacity);
+    hasServiceAndLabel(worker, step) && fits(reservedResources(step.spec), worker.entry.capacity);
 
 /**
  * Tells whether a worker has the service and the label that a step requires, whatever its capacity.
@@ -108,4 +108,4 @@
  * mightSuit(worker, step);
  */
 export const mightBecomeEligible = (worker: ShardWorker, step: ShardStep): boolean =>
-    hasServiceAndLabel(worker, step) && fits(heldBy(step.spec), worker.mostCapacity);
+    hasServiceAndLabel(worker, step) && fits(reservedResources(step.spec), worker.maxCapacity);
--- a/packages/puffinarch/src/core/shard/forward.ts
+++ b/packages/puffinarch/src/core/shard/forward.ts
@@ -8,7 +8,7 @@
 import type { ShardOwner } from "./shardOwner.js";
 
 /** Dependencies of request forwarding. */
-export interface ForwardOptions {
+export interface ForwarderOptions {
     readonly clock: Clock;
     /** Time after which a refused caller is told to retry. */
     readonly retryAfterMs: number;
@@ -26,11 +26,11 @@
 export interface ForwardRequest<T> {
     readonly local: (shard: ShardOwner) => Promise<T>;
     readonly remote: (address: string, timeoutMs: number) => Promise<T>;
-    readonly patienceMs: number;
+    readonly totalTimeoutMs: number;
 }
 
 /** Forwards requests. */
-export interface Forward {
+export interface Forwarder {
     /** Fails with `notAccepted` if the request certainly had no effect, and with `mayHaveRun` if that is unknown. */
     run<T>(request: ForwardRequest<T>): Promise<T>;
     /** Must be called when the owner changes; waiting requests are retried at once. */
@@ -53,7 +53,7 @@
  * const forwarder = createForwarder({ clock, retryAfterMs: 1_000, shard, ownerAddress, ownerLostMs, onNoAnswer });
  * await forwarder.run({ local: shard => shard.submit(job), remote: (address, timeoutMs) => send(address, timeoutMs), totalTimeoutMs: 2_000 });
  */
-export const createForward = (options: ForwardOptions): Forward => {
+export const createForwarder = (options: ForwarderOptions): Forwarder => {
     const { clock, retryAfterMs, shard, ownerAddress, ownerLostMs, onNoAnswer } = options;
     const ownerChangeListeners = new Set<() => void>();
 
@@ -114,10 +114,10 @@
     return {
         run: async request => {
             const startedAtMs = clock.monotonicMs();
-            const { patienceMs } = request;
+            const { totalTimeoutMs } = request;
             let mayHaveRun = false;
             for (;;) {
-                const leftMs = startedAtMs + patienceMs - clock.monotonicMs();
+                const leftMs = startedAtMs + totalTimeoutMs - clock.monotonicMs();
                 if (!mayHaveRun && leftMs < minAttemptMs) {
                     // The outcome would come after the caller has given up. Without another attempt, the request certainly had no effect.
                     return die("notAccepted", "too little time is left to complete the request", { retryAfterMs });
@@ -137,7 +137,9 @@
                     onNoAnswer();
                 }
                 // An owner that was lost some time ago is not expected back soon, and other daemons may be able to reach one.
-                const allowedMs = mayHaveRun ? patienceMs : Math.min(patienceMs, ownerLossGraceMs - ownerLostMs());
+                const allowedMs = mayHaveRun
+                    ? totalTimeoutMs
+                    : Math.min(totalTimeoutMs, ownerLossGraceMs - ownerLostMs());
                 if (clock.monotonicMs() - startedAtMs + retryPauseMs >= allowedMs) {
                     return mayHaveRun
                         ? die("mayHaveRun", "the owner of the shard did not answer")
--- a/packages/puffinarch/src/core/shard/jobBook.ts
+++ b/packages/puffinarch/src/core/shard/jobBook.ts
@@ -54,9 +54,9 @@
      * A status poll (`look`) that is sent after this local time and does not list the run proves that the run is gone; undefined until
      * its order is answered or given up as unanswered.
      */
-    settledAtMs: number | undefined;
+    absenceProvenAfterMs: number | undefined;
     /** Whether a poll of its worker has listed it; before that, it is unknown which incarnation carried its order out. */
-    shown: boolean;
+    wasListed: boolean;
     /**
      * Local time until which any incarnation of its worker may still carry out its start order; undefined once the order was answered,
      * and for orders that only one incarnation accepts.
@@ -131,7 +131,7 @@
 /** What is known of the advisor's answers for one step. */
 export interface StepAdvice {
     /** IDs of the workers that the advisor was asked about. */
-    readonly asked: Set<string>;
+    readonly askedWorkerIds: Set<string>;
     /** Newest ticket for each worker that may run the step, by worker ID. The advisor never changes its decision; only tickets expire. */
     readonly good: Map<string, { ticket: string; validUntilMs: number; }>;
     inFlight: boolean;
@@ -164,8 +164,8 @@
      * How often steps that waited long took capacity that was reserved for this one, and the earliest local time at which that may happen
      * again.
      */
-    timesPassed: number;
-    passableAtMs: number;
+    timesBypassed: number;
+    nextBypassAtMs: number;
 }
 
 /** An occurrence of a job: one execution of all of its steps. */
@@ -174,15 +174,15 @@
     readonly number: number;
     readonly steps: readonly ShardStep[];
     /** Undefined until workers are listed, which the objective is computed from. */
-    course: OccurrenceCourse | undefined;
+    timing: OccurrenceTiming | undefined;
 }
 
 /** Time limits of one occurrence: its objective, and the expected time that is left from each of its steps on. */
-export interface OccurrenceCourse {
+export interface OccurrenceTiming {
     /** Time from its beginning within which it should end; `Infinity` if its queue has no objective. */
     readonly objectiveMs: number;
     /** Expected time from the start of each step to the end of the job, by step number. */
-    readonly tailsMs: readonly number[];
+    readonly remainingByStepMs: readonly number[];
 }
 
 /** A job of the shard, from its submission until it is forgotten after its end. */
@@ -206,7 +206,7 @@
     /** Why it failed; undefined if it did not. */
     failure: JobFailure | undefined;
     /** State that callers are shown; undefined until the acceptance is durable. */
-    shown: JobState | undefined;
+    visibleState: JobState | undefined;
     /** Whether the row with the submission is durable. */
     stored: boolean;
 }
@@ -241,12 +241,12 @@
         open: spec.count,
         gangFailures: 0,
         gangFailedRun: 0,
-        advice: { asked: new Set(), good: new Map(), inFlight: false, notBeforeMs: 0 },
+        advice: { askedWorkerIds: new Set(), good: new Map(), inFlight: false, notBeforeMs: 0 },
         readyAtMs: 0,
         blockedAtMs: undefined,
         blockedBeforeMs: 0,
-        timesPassed: 0,
-        passableAtMs: 0,
+        timesBypassed: 0,
+        nextBypassAtMs: 0,
     };
     for (let index = 0; index < spec.count; index += 1) {
         const { jobId } = occurrence.job.submission;
@@ -263,7 +263,7 @@
  */
 export const openOccurrence = (job: ShardJob, number: number): ShardOccurrence => {
     const steps: ShardStep[] = [];
-    const occurrence: ShardOccurrence = { job, number, steps, course: undefined };
+    const occurrence: ShardOccurrence = { job, number, steps, timing: undefined };
     for (const [index, spec] of job.submission.steps.entries()) {
         steps.push(newStep(occurrence, index, spec));
     }
@@ -300,7 +300,7 @@
         started: false,
         endedAtMs: undefined,
         failure: undefined,
-        shown: undefined,
+        visibleState: undefined,
         stored: false,
     };
     if (submission.schedule.repeatCount === 0) {
@@ -340,7 +340,7 @@
  * @example
  * isOnLastAttempt(task); // true for a task that has failed twice, where its queue allows three attempts
  */
-export const hasOneAttempt = ({ step, failures }: ShardTask): boolean => {
+export const isOnLastAttempt = ({ step, failures }: ShardTask): boolean => {
     const { spec, gangFailures, occurrence } = step;
     const used = spec.gang ? gangFailures : failures;
     return !spec.longRunning && used + 1 >= occurrence.job.queue.attempts;
@@ -378,7 +378,7 @@
     `${occurrence.job.submission.jobId}.${occurrence.number}.${number}`;
 
 /** Capacity that a task of a step reserves on a worker. Tasks that only use spare CPU (`fills`) reserve none. */
-export const heldBy = ({ size, fills }: Step): Resources => fills ? { ...size, cpuMillis: 0 } : size;
+export const reservedResources = ({ size, fills }: Step): Resources => fills ? { ...size, cpuMillis: 0 } : size;
 
 /**
  * Creates a run of a task, in the phase `planned` unless `known` overrides it. It reserves no capacity yet.
@@ -392,11 +392,11 @@
     workerId,
     bornAtMs: undefined,
     address: "",
-    held: heldBy(task.step.spec),
+    held: reservedResources(task.step.spec),
     phase: runPhases.planned,
     sentAtMs: undefined,
-    settledAtMs: undefined,
-    shown: false,
+    absenceProvenAfterMs: undefined,
+    wasListed: false,
     mayArriveUntilMs: undefined,
     absent: false,
     mayHaveCrashed: false,
@@ -519,7 +519,7 @@
  * @example
  * applyRunEnd(task, 1, "done", "", clock.nowMs());
  */
-export const applyEnd = (task: ShardTask, run: number, how: RunEnd, checkpoint: string, nowMs: number): void => {
+export const applyRunEnd = (task: ShardTask, run: number, how: RunEnd, checkpoint: string, nowMs: number): void => {
     if (task.done) {
         return;
     }
@@ -540,7 +540,7 @@
  * @example
  * const isReleased = pruneDoneOccurrences(job);
  */
-export const letGo = (job: ShardJob): boolean => {
+export const pruneDoneOccurrences = (job: ShardJob): boolean => {
     let settled = true;
     for (const [number, occurrence] of job.occurrences) {
         if (hasLiveRuns(occurrence)) {
@@ -573,7 +573,7 @@
             continue;
         }
         advice.good.delete(workerId);
-        advice.asked.delete(workerId);
+        advice.askedWorkerIds.delete(workerId);
         for (const { failedOn } of tasks) {
             failedOn.delete(workerId);
         }
--- a/packages/puffinarch/src/core/shard/jobRows.ts
+++ b/packages/puffinarch/src/core/shard/jobRows.ts
@@ -12,9 +12,9 @@
 import type { CrashedRun } from "./crashes.js";
 import {
     hasEnded,
-    letGo,
     newJob,
     openOccurrence,
+    pruneDoneOccurrences,
     runsOf,
     type ShardJob,
     type ShardStep,
@@ -211,7 +211,7 @@
     const { jobId } = job.submission;
     const submission = { table: journalTable, key: submissionPrefix + jobId };
     const state = { table: journalTable, key: statePrefix + jobId };
-    if (letGo(job) && hasEnded(job)) {
+    if (pruneDoneOccurrences(job) && hasEnded(job)) {
         const ended = { table: endedTable, key: jobId, value: JSON.stringify(toEndedJob(job)) };
         return { puts: [ended], removes: job.stored ? [submission, state] : [] };
     }
@@ -298,7 +298,7 @@
     const nowMs = clock.monotonicMs();
     const runs: StoredRun[] = [];
     job.state = stored.state;
-    job.shown = stored.state;
+    job.visibleState = stored.state;
     job.failure = stored.failure;
     job.started = stored.state !== "queued";
     job.occurrences.clear();
--- a/packages/puffinarch/src/core/shard/lostRuns.ts
+++ b/packages/puffinarch/src/core/shard/lostRuns.ts
@@ -17,7 +17,7 @@
 /** Keeps the runs that may have crashed silent workers, until that is known. */
 export interface LostRuns {
     /** Records runs whose leases on a silent worker are over. */
-    lose(worker: LostWorker, runs: readonly CrashedRun[], nowMs: number): void;
+    add(worker: LostWorker, runs: readonly CrashedRun[], nowMs: number): void;
     /** Settles the losses of a worker that answers; returns the runs that were lost with another incarnation of it. */
     answered(incarnation: WorkerIncarnation): readonly CrashedRun[];
     /** Settles the losses of other workers at an address where a new worker is; returns their runs. */
@@ -63,7 +63,7 @@
         return runs;
     };
     return {
-        lose: ({ workerId, address }, runs, nowMs) => {
+        add: ({ workerId, address }, runs, nowMs) => {
             if (runs.length === 0 || address === "") {
                 return;
             }
--- a/packages/puffinarch/src/core/shard/missingRuns.ts
+++ b/packages/puffinarch/src/core/shard/missingRuns.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
-import { endPatience } from "./blockedSteps.js";
+import { markBlockedLong } from "./blockedSteps.js";
 import type { CrashedRun } from "./crashes.js";
 import { incarnationOf } from "./incarnations.js";
 import { jobOf, type ShardJob, type ShardRun } from "./jobBook.js";
@@ -37,8 +37,8 @@
     review(worker: ShardWorker, listed: ReadonlySet<string>, sentAtMs: number): readonly CrashedRun[];
 }
 
-const wasStartLost = ({ sentAtMs, shown, startedAtMs }: ShardRun): boolean =>
-    sentAtMs !== undefined && !shown && startedAtMs === undefined;
+const wasStartLost = ({ sentAtMs, wasListed, startedAtMs }: ShardRun): boolean =>
+    sentAtMs !== undefined && !wasListed && startedAtMs === undefined;
 
 /**
  * Creates the review of one owner.
@@ -78,12 +78,12 @@
         if (run.absent) {
             const nowMs = clock.monotonicMs();
             meter.record("startHeldMs", nowMs - (run.sentAtMs ?? nowMs));
-            endPatience(run.task.step, nowMs);
+            markBlockedLong(run.task.step, nowMs);
         }
         if (run.mayHaveCrashed) {
             options.onPossibleCrash(worker, run);
         }
-        if (run.sentAtMs === undefined && !run.shown) {
+        if (run.sentAtMs === undefined && !run.wasListed) {
             options.onFormerGone(worker, run);
         }
         if (!run.absent && wasStartLost(run)) {
@@ -108,7 +108,7 @@
             const crashed: CrashedRun[] = [];
             const nowMs = clock.monotonicMs();
             for (const [key, run] of [...worker.runs]) {
-                if (run.settledAtMs === undefined || run.settledAtMs >= sentAtMs || listed.has(key)) {
+                if (run.absenceProvenAfterMs === undefined || run.absenceProvenAfterMs >= sentAtMs || listed.has(key)) {
                     continue;
                 }
                 reviewRun(worker, run, nowMs);
--- a/packages/puffinarch/src/core/shard/nextIncarnation.ts
+++ b/packages/puffinarch/src/core/shard/nextIncarnation.ts
@@ -32,7 +32,7 @@
  */
 const mayRunOnNext = (run: ShardRun, delayedStarts: DelayedStarts): boolean =>
     run.phase !== runPhases.planned
-    && (!run.shown || run.phase === runPhases.starting || mayBeInFlight(run, delayedStarts));
+    && (!run.wasListed || run.phase === runPhases.starting || mayBeInFlight(run, delayedStarts));
 
 /** Whether a run's task waits until its unanswered start can no longer be carried out, by whichever incarnation has the id then. */
 const awaitsLateStart = ({ phase, mayArriveUntilMs }: ShardRun): boolean =>
@@ -93,7 +93,7 @@
     /** The platform's entry for the worker; undefined where it is not listed. */
     readonly listed: WorkerEntry | undefined;
     /** Local time by which every lease is over that late orders for the former incarnation may have given it. */
-    readonly horizonMs: number;
+    readonly leaseHorizonMs: number;
     /** Local time. */
     readonly nowMs: number;
 }
@@ -107,10 +107,10 @@
 export const enterIncarnation = (
     former: ShardWorker,
     { carried, undecided }: FormerIncarnation,
-    { bornAtMs, listed, horizonMs, nowMs }: NextIncarnation,
+    { bornAtMs, listed, leaseHorizonMs, nowMs }: NextIncarnation,
 ): ShardWorker => {
     const isListed = listed !== undefined && !isOtherIncarnation(listed.bornAtMs, bornAtMs);
-    const next = newWorker(isListed ? listed : former.entry, horizonMs);
+    const next = newWorker(isListed ? listed : former.entry, leaseHorizonMs);
     next.bornAtMs = bornAtMs;
     // It may have another service or capacity, so nothing is started there until its own entry is listed.
     next.unlistedAtMs = isListed ? undefined : -Infinity;
@@ -122,7 +122,7 @@
             run.mayHaveCrashed = true;
         }
         if (awaitsLateStart(run)) {
-            run.settledAtMs = nowMs;
+            run.absenceProvenAfterMs = nowMs;
         }
         adoptRun(next, run);
     }
--- a/packages/puffinarch/src/core/shard/ownerProgress.ts
+++ b/packages/puffinarch/src/core/shard/ownerProgress.ts
@@ -15,7 +15,7 @@
     /** How long the commit in progress has waited for the store, in ms; 0 where there is none. */
     readonly stalledMs: () => number;
     /** Local time of the newest answer of any worker. */
-    readonly lookedAtMs: () => number;
+    readonly newestAnswerAtMs: () => number;
 }
 
 /** Progress check of one owner. */
@@ -39,7 +39,7 @@
  * progress.review(12);
  */
 export const createOwnerProgress = (options: OwnerProgressOptions): OwnerProgress => {
-    const { clock, log, meter, newsAgeMs, stalledMs, lookedAtMs } = options;
+    const { clock, log, meter, newsAgeMs, stalledMs, newestAnswerAtMs } = options;
     let startedAtMs = clock.monotonicMs();
     let acceptedAtMs = clock.monotonicMs();
     let nextWarningAfterMs = firstWarningAfterMs;
@@ -67,7 +67,7 @@
                     forMs: sinceMs(startedAtMs),
                     waitingSteps,
                     acceptedMsAgo: sinceMs(acceptedAtMs),
-                    lookedMsAgo: sinceMs(lookedAtMs()),
+                    lookedMsAgo: sinceMs(newestAnswerAtMs()),
                     newsAgeMs: Math.round(newsAgeMs()),
                     commitStalledMs: Math.round(stalledMs()),
                 });
--- a/packages/puffinarch/src/core/shard/ownerWatch.ts
+++ b/packages/puffinarch/src/core/shard/ownerWatch.ts
@@ -7,10 +7,10 @@
 import type { Clock, Log } from "../../types/ports.js";
 import { type ErrorKind, failureOf } from "../../utils/errors.js";
 import { sleep } from "../../utils/time.js";
-import type { CommitWitness } from "./commitWitness.js";
+import type { CommitMonitor } from "./commitWitness.js";
 import { type Peers, pingIntervalMs, pingTimeoutMs } from "./peers.js";
-import { followerPauseMs, placeDelayMs, watcherCount } from "./probes.js";
-import { type ClaimReason, claimReasons, patienceFactor, settlingMs } from "./shortOffices.js";
+import { delayForRankMs, followerPauseMs, watcherCount } from "./probes.js";
+import { type ClaimReason, claimReasons, settlingMs, timeoutFactor } from "./shortOffices.js";
 
 /** Dependencies and callbacks of an owner watch. */
 export interface OwnerWatchOptions {
@@ -28,13 +28,13 @@
      * True while this daemon must not claim, but still watches the owner: for a time after it gave up a restore, and before it
      * has read the member rows.
      */
-    readonly isResting: () => boolean;
+    readonly isBackingOff: () => boolean;
     /** True once this daemon is shutting down and claims no shard any more. */
     readonly isLeaving: () => boolean;
     /** Reads the owner row again; false where the store did not answer within the time. */
     readonly readOwner: (withinMs: number) => Promise<boolean>;
     /** Shows whether the owner still commits, and so distinguishes a failed owner from one that only this daemon cannot reach. */
-    readonly witness: CommitWitness;
+    readonly commitMonitor: CommitMonitor;
     /** Claims the shard from the owner whose row has version `seenVersion`; 0 where there is none. */
     readonly claim: (seenVersion: number, why: ClaimReason) => Promise<unknown>;
     /** Called for each ping answer; the peer may have a newer configuration. */
@@ -67,7 +67,7 @@
     /** Returns the result of the newest round. */
     doing(): WatchStep;
     /** Local time at which the owner was last known to be healthy; an answer counts until the next ping is due. */
-    wellAtMs(): number;
+    lastHealthyAtMs(): number;
     /** Reports a failed call to the owner, which is then pinged at once, before the next ping is due. */
     suspect(): void;
     /** Fencing token of the owner where it has answered recently; 0 otherwise. */
@@ -166,8 +166,20 @@
  * const watch = watchOwner({ clock, log, self, peers, known, owns, isSettled, isBackingOff, isLeaving, readOwner, commitMonitor, claim, onAnswer, onOwnerAnswer, onOwnRound, onPeersPinged });
  */
 export const watchOwner = (options: OwnerWatchOptions): OwnerWatch => {
-    const { clock, log, self, peers, known, owns, isSettled, isResting, isLeaving, readOwner, witness, claim } =
-        options;
+    const {
+        clock,
+        log,
+        self,
+        peers,
+        known,
+        owns,
+        isSettled,
+        isBackingOff,
+        isLeaving,
+        readOwner,
+        commitMonitor,
+        claim,
+    } = options;
     let closed = false;
     /** Local time of the last change of the owner row. */
     let changedAtMs = -Infinity;
@@ -190,14 +202,14 @@
     /** Local time of the first of the consecutive quick reads while the owner's commits were unanswered; undefined for none. */
     let quickReadsSinceMs: number | undefined;
 
-    const mayClaim = (): boolean => isSettled() && !isResting() && !isLeaving() && !owns();
+    const mayClaim = (): boolean => isSettled() && !isBackingOff() && !isLeaving() && !owns();
 
     const ownerVersion = (): number => known()?.version ?? 0;
 
     /** Factor on the timeouts for the current owner; 1 once its settling time is over. */
     const timeoutScale = (): number => {
         const row = known()?.row ?? {};
-        return clock.monotonicMs() - changedAtMs < settlingMs(row) ? patienceFactor(row) : 1;
+        return clock.monotonicMs() - changedAtMs < settlingMs(row) ? timeoutFactor(row) : 1;
     };
 
     /**
@@ -236,7 +248,7 @@
         const sameStrength = peers.claimants(known()).filter(candidate => candidate.strong === strong);
         const rank = sameStrength.findIndex(({ memberId }) => memberId === self.memberId);
         const ahead = sameStrength.slice(0, rank).filter(({ memberId }) => !peers.isSilent(memberId));
-        return (strong ? 0 : weakDelayMs) + placeDelayMs(ahead.length, rankMs);
+        return (strong ? 0 : weakDelayMs) + delayForRankMs(ahead.length, rankMs);
     };
 
     const watchesOwner = (): boolean =>
@@ -286,7 +298,7 @@
 
     const considerClaim = async (why: ClaimReason): Promise<void> => {
         if (!mayClaim()) {
-            step = isResting() ? watchSteps.rests : watchSteps.mayNotClaim;
+            step = isBackingOff() ? watchSteps.rests : watchSteps.mayNotClaim;
             return;
         }
         const version = ownerVersion();
@@ -306,7 +318,7 @@
             lostAtMs = clock.monotonicMs();
             return;
         }
-        if (minority && (!await witness.isQuiet() || lostForMs() < minorityDelayMs)) {
+        if (minority && (!await commitMonitor.isQuiet() || lostForMs() < minorityDelayMs)) {
             step = watchSteps.minority;
             return;
         }
@@ -357,7 +369,7 @@
         answerValidMs = ownerPauseMs() - pingIntervalMs;
         silentPings = 0;
         lostAtMs = undefined;
-        witness.reset();
+        commitMonitor.reset();
         step = watchSteps.pings;
     };
 
@@ -420,7 +432,7 @@
         }
     };
 
-    const wellAtMs = (): number => Math.min(clock.monotonicMs(), answeredAtMs + answerValidMs);
+    const lastHealthyAtMs = (): number => Math.min(clock.monotonicMs(), answeredAtMs + answerValidMs);
 
     /**
      * Pings the owner at once, at most once per ping interval. Without the limit, on a daemon that does not ping the owner because
@@ -524,7 +536,7 @@
     void watch();
     return {
         doing: () => step,
-        wellAtMs,
+        lastHealthyAtMs,
         seenToken: () =>
             silentPings === 0 && clock.monotonicMs() - answeredAtMs < maxAnswerAgeMs * timeoutScale()
                 ? ownerVersion()
@@ -532,14 +544,14 @@
         suspect,
         reset: () => {
             // The former owner's answer still counts up to now, so that a takeover does not make a daemon report that it has no owner.
-            answeredAtMs = wellAtMs();
+            answeredAtMs = lastHealthyAtMs();
             answerValidMs = 0;
             isOwnerServing = false;
             askedAtMs = -Infinity;
             changedAtMs = clock.monotonicMs();
             silentPings = 0;
             lostAtMs = undefined;
-            witness.reset();
+            commitMonitor.reset();
         },
         wake: () => wakeLoop?.(),
         close: () => {
--- a/packages/puffinarch/src/core/shard/peers.ts
+++ b/packages/puffinarch/src/core/shard/peers.ts
@@ -12,7 +12,7 @@
 import type { Clock, Log } from "../../types/ports.js";
 import { type ErrorKind, failureOf } from "../../utils/errors.js";
 import { decodeMember } from "./memberRows.js";
-import { type ClaimCandidate, claimOrder, laneCount, neighbourCount, newsOrder, observerCount } from "./probes.js";
+import { type ClaimCandidate, claimOrder, laneCount, neighbourCount, neighbourOrder, observerCount } from "./probes.js";
 import type { RowReader } from "./rowReader.js";
 
 /** Dependencies of the table of peers. */
@@ -62,7 +62,7 @@
     /** Returns whether a daemon left its newest ping unanswered. */
     isSilent(memberId: string): boolean;
     /** Applies new, changed and removed member rows. */
-    take(rows: readonly Row[]): void;
+    applyRows(rows: readonly Row[]): void;
     /** Calls a daemon; undefined where the call failed. */
     ask<N extends MemberCallName>(
         address: string,
@@ -167,8 +167,8 @@
         }))
     );
 
-    const neighbours = cacheUntilChange(() => newsOrder(self.memberId, presentMembers()).slice(0, neighbourCount));
-    const allInOrder = cacheUntilChange(() => newsOrder(self.memberId, [...all.values()]));
+    const neighbours = cacheUntilChange(() => neighbourOrder(self.memberId, presentMembers()).slice(0, neighbourCount));
+    const allInOrder = cacheUntilChange(() => neighbourOrder(self.memberId, [...all.values()]));
 
     /** The owner for which `claimants` was called last. */
     let lastAskedOwner: KnownOwner | undefined;
@@ -222,7 +222,7 @@
             return rest[remainingIndex % Math.max(1, rest.length)];
         },
         isSilent: memberId => silences.has(memberId),
-        take: rows => {
+        applyRows: rows => {
             tableRevision += 1;
             for (const row of rows) {
                 if (row.value === undefined) {
--- a/packages/puffinarch/src/core/shard/placing.ts
+++ b/packages/puffinarch/src/core/shard/placing.ts
@@ -1,11 +1,11 @@
 /** Scheduling passes over all steps with waiting tasks: the most urgent step first, each task to a worker with free capacity. */
 
-import { type AskAdviceOptions, createAdviceAsker } from "./askAdvice.js";
-import { isTimeToAsk } from "./askAhead.js";
+import { type AdviceRequesterOptions, createAdviceRequester } from "./askAdvice.js";
+import { shouldRequestAhead } from "./askAhead.js";
 import { isBlocked, recordBlocked } from "./blockedSteps.js";
 import { type CapView, type CapWaits, createCapView } from "./capView.js";
 import { type Chooser, createChooser, openWorkersFor } from "./chooseWorker.js";
-import { awaitsVerdict, needsTrial } from "./crashes.js";
+import { awaitsCrashConfirmation, needsTrial } from "./crashes.js";
 import { isAtCap } from "./eligible.js";
 import {
     hasEnded,
@@ -18,14 +18,14 @@
     type ShardTask,
     stepNameOf,
 } from "./jobBook.js";
-import { planRoom } from "./planRoom.js";
-import { createRoomView, type Reservation, type RoomView } from "./roomView.js";
-import { fellAtStart, holdForTrial, startable } from "./trials.js";
-import { inTurn, type RankedStep, standings } from "./urgency.js";
+import { planReservations } from "./planRoom.js";
+import { type CapacityView, createCapacityView, type Reservation } from "./roomView.js";
+import { fellSilentAtStart, holdForTrial, startableTasks } from "./trials.js";
+import { inSchedulingOrder, type RankedStep, standings } from "./urgency.js";
 import { dropRun, holdRoom, type ShardWorker } from "./workerTable.js";
 
 /** Dependencies of a task placer. */
-export interface PlacingOptions extends Omit<AskAdviceOptions, "onAnswer"> {
+export interface TaskPlacerOptions extends Omit<AdviceRequesterOptions, "onAnswer"> {
     /** Receives planned runs of a job, to be committed and then started. */
     readonly onPlanned: (job: ShardJob, runs: readonly ShardRun[]) => void;
     /** Receives a run to be stopped with its checkpoint, to free its capacity. */
@@ -35,19 +35,19 @@
 }
 
 /** Places the waiting tasks of a shard on workers. */
-export interface Placing {
+export interface TaskPlacer {
     /** Adds the steps of a job that have become ready, and those for which advice may be requested ahead. */
-    consider(job: ShardJob): void;
+    updateJob(job: ShardJob): void;
     /** Removes all steps of a job. */
-    forget(job: ShardJob): void;
+    removeJob(job: ShardJob): void;
     /** Runs one pass: places waiting tasks and copies, and requests advice. */
-    pass(): void;
+    runPass(): void;
     /** Number of steps that are ready and have waiting tasks. */
     waitingSteps(): number;
     /** Number of all steps that a pass visits: also those that may need copies, or advice ahead of time. */
-    readySteps(): number;
+    activeSteps(): number;
     /** Whether the next pass tries to place the step's waiting tasks. */
-    holds(step: ShardStep): boolean;
+    isQueued(step: ShardStep): boolean;
 }
 
 /** A run is overdue, and its worker may be slow, after `overdueFactor` times its estimate plus `overdueMs`. */
@@ -66,7 +66,7 @@
 interface PassContext {
     readonly nowMs: number;
     readonly wallMs: number;
-    readonly view: RoomView;
+    readonly view: CapacityView;
     /** Number of steps for which capacity was planned in this pass, or an earlier plan was reused. */
     planned: number;
     readonly caps: CapView;
@@ -86,8 +86,8 @@
  * placer.updateJob(job);
  * placer.runPass();
  */
-export const createPlacing = (options: PlacingOptions): Placing => {
-    const { clock, log, meter, settings, workers, desk, onPlanned } = options;
+export const createTaskPlacer = (options: TaskPlacerOptions): TaskPlacer => {
+    const { clock, log, meter, settings, workers, dispatcher, onPlanned } = options;
     const ready = new Set<ShardStep>();
     /** Steps that wait for their predecessors and for which no advice was requested yet. */
     const upcoming = new Set<ShardStep>();
@@ -110,7 +110,15 @@
         return run;
     };
 
-    const adviceRequester = createAdviceAsker({ clock, log, meter, settings, workers, desk, onAnswer: options.wake });
+    const adviceRequester = createAdviceRequester({
+        clock,
+        log,
+        meter,
+        settings,
+        workers,
+        dispatcher,
+        onAnswer: options.wake,
+    });
     const plans = new Map<ShardStep, CapacityPlan>();
     const capWaits: CapWaits = new WeakMap();
 
@@ -147,7 +155,7 @@
         return run;
     };
 
-    const recordPlacement = ({ workerId, task }: ShardRun, view: RoomView): void => {
+    const recordPlacement = ({ workerId, task }: ShardRun, view: CapacityView): void => {
         const worker = workers.get(workerId);
         if (worker !== undefined) {
             view.recordPlacement(worker, task.step);
@@ -217,7 +225,7 @@
             return false;
         }
         const worker = workers.get(run.workerId);
-        if (worker !== undefined && fellAtStart(run, worker)) {
+        if (worker !== undefined && fellSilentAtStart(run, worker)) {
             return false;
         }
         const unresponsive = (worker?.silentLooks ?? 1) > 0;
@@ -251,7 +259,13 @@
             onPlanned(step.occurrence.job, runs);
         }
         if (runs.length < tasks.length) {
-            adviceRequester.askFor({ step, waiting: tasks.length - runs.length, reservations: [], view, nowMs });
+            adviceRequester.requestTickets({
+                step,
+                waiting: tasks.length - runs.length,
+                reservations: [],
+                view,
+                nowMs,
+            });
         }
     };
 
@@ -271,21 +285,29 @@
             return [];
         }
         if (lastPlan !== undefined && nowMs - lastPlan.madeAtMs < planValidMs) {
-            lastPlan.reservations.forEach(view.keep);
+            lastPlan.reservations.forEach(view.reserve);
             return lastPlan.reservations;
         }
-        const tailMs = step.occurrence.course?.tailsMs[step.number] ?? 0;
+        const tailMs = step.occurrence.timing?.remainingByStepMs[step.number] ?? 0;
         // Long-running steps and steps without an objective have no due time; any delay of their start is a loss.
         const slackMs = Number.isFinite(dueAtMs) ? dueAtMs - wallMs - tailMs : 0;
-        const reservations = planRoom({ step, waiting, workers, view, nowMs, stopMs: settings.stopMs, slackMs });
+        const reservations = planReservations({
+            step,
+            waiting,
+            workers,
+            view,
+            nowMs,
+            stopMs: settings.stopMs,
+            slackMs,
+        });
         plans.set(step, { madeAtMs: nowMs, reservations });
-        reservations.forEach(view.keep);
+        reservations.forEach(view.reserve);
         stopVictims(step, reservations, nowMs);
         return reservations;
     };
 
     const stopVictims = (step: ShardStep, reservations: readonly Reservation[], nowMs: number): void => {
-        const objectiveMs = step.occurrence.course?.objectiveMs ?? Infinity;
+        const objectiveMs = step.occurrence.timing?.objectiveMs ?? Infinity;
         if (nowMs - step.readyAtMs < preemptAfterMs || settings.stopMs > maxStopShare * objectiveMs) {
             return;
         }
@@ -312,11 +334,11 @@
         }
         if (step.spec.longRunning) {
             // Each of these tasks counts as lost after 3 s without a run. Their trials run one after the other, so all waits begin now.
-            startTrialWaits(all.filter(task => !awaitsVerdict(task, nowMs)));
+            startTrialWaits(all.filter(task => !awaitsCrashConfirmation(task, nowMs)));
         }
-        const startableTasks = startable(step, all, { workers, nowMs });
-        const waiting = context.caps.allowed(step, startableTasks);
-        if (waiting.length === 0 && startableTasks.length > 0) {
+        const startable = startableTasks(step, all, { workers, nowMs });
+        const waiting = context.caps.allowed(step, startable);
+        if (waiting.length === 0 && startable.length > 0) {
             // The organisation's cap prevents a start: request no advice, reserve nothing and stop no runs.
             step.blockedAtMs = undefined;
             return;
@@ -332,8 +354,8 @@
                 waiting: all.length - runs.length,
             });
             plans.delete(step);
-            step.timesPassed = 0;
-            step.passableAtMs = 0;
+            step.timesBypassed = 0;
+            step.nextBypassAtMs = 0;
             onPlanned(step.occurrence.job, runs);
             if (step.spec.speculative && !step.spec.gang) {
                 copyable.add(step);
@@ -342,7 +364,7 @@
         if (step.spec.gang && waiting.length < step.tasks.length) {
             // A gang starts only as a whole, once runs of its other members have ended; its tickets are requested meanwhile.
             step.blockedAtMs = undefined;
-            adviceRequester.askFor({ step, waiting: step.tasks.length, reservations: [], view, nowMs });
+            adviceRequester.requestTickets({ step, waiting: step.tasks.length, reservations: [], view, nowMs });
             return;
         }
         const unplaced = waiting.length - runs.length;
@@ -353,9 +375,9 @@
         if (unplaced > 0) {
             // A task on trial needs a worker without other runs, so that a reservation on a shared worker is of no use to it.
             const reservations = step.tasks.some(needsTrial) ? [] : reserveCapacity(ranked, unplaced, context);
-            context.caps.keep(step, reservations.length);
+            context.caps.reserve(step, reservations.length);
             const request = { step, waiting: unplaced, reservations, view, nowMs };
-            adviceRequester.askFor(request);
+            adviceRequester.requestTickets(request);
             adviceRequester.reserveRequested(request);
         }
     };
@@ -366,23 +388,23 @@
                 upcoming.delete(step);
                 continue;
             }
-            if (isTimeToAsk(step) && !isAtCap(step)) {
+            if (shouldRequestAhead(step) && !isAtCap(step)) {
                 upcoming.delete(step);
                 adviceRequester.requestAhead(step, view, nowMs);
             }
         }
     };
 
-    const pass = (): void => {
+    const runPass = (): void => {
         const nowMs = clock.monotonicMs();
         const context: PassContext = {
             nowMs,
             wallMs: clock.nowMs(),
-            view: createRoomView(nowMs),
+            view: createCapacityView(nowMs),
             planned: 0,
             caps: createCapView(nowMs, capWaits),
         };
-        for (const ranked of inTurn(ready, { clock, workers, order: settings.policies.order })) {
+        for (const ranked of inSchedulingOrder(ready, { clock, workers, order: settings.policies.order })) {
             placeStep(ranked, context);
         }
         requestAdviceAhead(context);
@@ -396,13 +418,16 @@
     };
 
     return {
-        consider: job => {
+        updateJob: job => {
             if (hasEnded(job)) {
                 return;
             }
             for (const occurrence of job.occurrences.values()) {
                 for (const step of occurrence.steps) {
-                    if (step.open > 0 && step.advice.asked.size === 0 && !step.advice.inFlight && !isReady(step)) {
+                    if (
+                        step.open > 0 && step.advice.askedWorkerIds.size === 0 && !step.advice.inFlight
+                        && !isReady(step)
+                    ) {
                         upcoming.add(step);
                     }
                     if (step.open > 0 && !ready.has(step) && isReady(step) && step.tasks.some(isWaiting)) {
@@ -412,7 +437,7 @@
                 }
             }
         },
-        forget: job => {
+        removeJob: job => {
             for (const step of [...ready, ...copyable, ...upcoming]) {
                 if (step.occurrence.job === job) {
                     ready.delete(step);
@@ -422,9 +447,9 @@
                 }
             }
         },
-        pass,
-        holds: step => ready.has(step),
+        runPass,
+        isQueued: step => ready.has(step),
         waitingSteps: () => ready.size,
-        readySteps: () => ready.size + copyable.size + upcoming.size,
+        activeSteps: () => ready.size + copyable.size + upcoming.size,
     };
 };
--- a/packages/puffinarch/src/core/shard/planRoom.ts
+++ b/packages/puffinarch/src/core/shard/planRoom.ts
@@ -6,11 +6,18 @@
 
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
 import { avoidedByAll } from "./avoidance.js";
-import { allowsAnother, countRuns, isEligible } from "./eligible.js";
-import { estimatedEndMs, estimatedRunMs, heldBy, runPhases, type ShardRun, type ShardStep } from "./jobBook.js";
-import { chooseVictims, givesWay } from "./preempt.js";
-import type { Reservation, RoomView } from "./roomView.js";
-import { isKeptFrom } from "./trials.js";
+import { allowsAnotherRun, countRuns, isEligible } from "./eligible.js";
+import {
+    estimatedEndMs,
+    estimatedRunMs,
+    reservedResources,
+    runPhases,
+    type ShardRun,
+    type ShardStep,
+} from "./jobBook.js";
+import { chooseVictims, isPreemptibleBy } from "./preempt.js";
+import type { CapacityView, Reservation } from "./roomView.js";
+import { isBlockedByTrial } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
 /** Inputs of a plan. */
@@ -19,7 +26,7 @@
     /** Number of tasks that found no worker with capacity, or only workers for which they have no ticket. */
     readonly waiting: number;
     readonly workers: ReadonlyMap<string, ShardWorker>;
-    readonly view: RoomView;
+    readonly view: CapacityView;
     readonly nowMs: number;
     /** How long a worker may take to stop a run. */
     readonly stopMs: number;
@@ -72,7 +79,7 @@
     room: Resources,
     { step, nowMs, stopMs, slackMs }: PlanOptions,
 ): Opening | undefined => {
-    const need = heldBy(step.spec);
+    const need = reservedResources(step.spec);
     if (fits(need, room)) {
         return { freeAtMs: nowMs, victims: [] };
     }
@@ -91,8 +98,8 @@
         return { freeAtMs: stoppedMs, victims };
     }
     // Preemptible runs keep running until the other runs have ended; only then does stopping them free enough.
-    const preemptible = ends.filter(({ run }) => givesWay(run, priority));
-    const others = ends.filter(({ run }) => !givesWay(run, priority));
+    const preemptible = ends.filter(({ run }) => isPreemptibleBy(run, priority));
+    const others = ends.filter(({ run }) => !isPreemptibleBy(run, priority));
     const freed = preemptible.reduce((sum, { run }) => add(sum, run.held), room);
     const freeAtMs = Math.min(freedByEndsMs, whenFreed(others, need, freed));
     return Number.isFinite(freeAtMs) ? { freeAtMs, victims: [] } : undefined;
@@ -100,7 +107,7 @@
 
 const isCandidate = (worker: ShardWorker, { step, workers, nowMs }: PlanOptions): boolean =>
     isOpen(worker, nowMs) && isEligible(worker, step)
-    && !isKeptFrom(worker, step.occurrence.job, { workers, nowMs })
+    && !isBlockedByTrial(worker, step.occurrence.job, { workers, nowMs })
     && (step.occurrence.job.queue.advice === undefined || step.advice.good.has(worker.workerId));
 
 const shareOf = (held: Resources, capacity: Resources): number =>
@@ -130,9 +137,9 @@
  * @example
  * const reservations = planReservations({ step, waiting: 2, workers, view, nowMs, stopMs: 400, slackMs: 5_000 });
  */
-export const planRoom = (options: PlanOptions): readonly Reservation[] => {
+export const planReservations = (options: PlanOptions): readonly Reservation[] => {
     const { step, waiting, workers, view } = options;
-    const held = heldBy(step.spec);
+    const held = reservedResources(step.spec);
     const runs = countRuns(step);
     /** Capacity and number of tasks planned so far, by worker id. */
     const plannedByWorker = new Map<string, { readonly room: Resources; readonly count: number; }>();
@@ -140,8 +147,11 @@
 
     const updateOpening = (worker: ShardWorker): void => {
         const { room, count } = plannedByWorker.get(worker.workerId) ?? { room: noResources, count: 0 };
-        const full = !allowsAnother(step.spec, (runs.get(worker.workerId) ?? 0) + count);
-        openings.set(worker, full ? undefined : openingOf(worker, subtract(view.roomFor(worker, step), room), options));
+        const full = !allowsAnotherRun(step.spec, (runs.get(worker.workerId) ?? 0) + count);
+        openings.set(
+            worker,
+            full ? undefined : openingOf(worker, subtract(view.capacityFor(worker, step), room), options),
+        );
     };
 
     const bestOpening = (): { readonly worker: ShardWorker; readonly opening: Opening; } | undefined => {
--- a/packages/puffinarch/src/core/shard/preempt.ts
+++ b/packages/puffinarch/src/core/shard/preempt.ts
@@ -11,7 +11,7 @@
  * @example
  * if (isPreemptibleBy(run, 0)) { stop(run); }
  */
-export const givesWay = (run: ShardRun, priority: number): boolean => {
+export const isPreemptibleBy = (run: ShardRun, priority: number): boolean => {
     const { step, done } = run.task;
     return run.phase === runPhases.running && !done && step.occurrence.job.queue.priority > priority
         && isPreemptible(step);
@@ -49,7 +49,7 @@
     worker: ShardWorker,
     { need, room, priority }: { readonly need: Resources; readonly room: Resources; readonly priority: number; },
 ): readonly ShardRun[] | undefined => {
-    const preemptible = [...worker.runs.values()].filter(run => givesWay(run, priority));
+    const preemptible = [...worker.runs.values()].filter(run => isPreemptibleBy(run, priority));
     const single = smallestSufficient(preemptible, need, room);
     if (single !== undefined) {
         return [single];
--- a/packages/puffinarch/src/core/shard/probes.ts
+++ b/packages/puffinarch/src/core/shard/probes.ts
@@ -70,7 +70,7 @@
  * @example
  * neighbourOrder("entry-1", members).slice(0, neighbourCount);
  */
-export const newsOrder = (memberId: string, members: readonly MemberRow[]): readonly MemberRow[] =>
+export const neighbourOrder = (memberId: string, members: readonly MemberRow[]): readonly MemberRow[] =>
     [...members].sort(byRendezvousScore(memberId));
 
 /**
@@ -88,5 +88,5 @@
  * @example
  * delayForRankMs(2, 120); // 240
  */
-export const placeDelayMs = (rank: number, eachMs: number): number =>
+export const delayForRankMs = (rank: number, eachMs: number): number =>
     Math.min(rank, earlyRanks) * eachMs + Math.max(0, rank - earlyRanks) * laterRankDelayMs;
--- a/packages/puffinarch/src/core/shard/readRows.ts
+++ b/packages/puffinarch/src/core/shard/readRows.ts
@@ -94,7 +94,7 @@
             const page = await store.read(table, part, fromKey, pageRows, longestPageMs);
             rows.push(...page.rows);
             version ??= page.version;
-            if (!page.more) {
+            if (!page.hasMore) {
                 return { rows, version };
             }
             fromKey = keyAfter(page.rows);
--- a/packages/puffinarch/src/core/shard/readiness.ts
+++ b/packages/puffinarch/src/core/shard/readiness.ts
@@ -14,9 +14,9 @@
     readonly hasConfiguration: () => boolean;
     readonly owns: () => boolean;
     /** Local time at which the owner was last known to be healthy. */
-    readonly wellAtMs: () => number;
+    readonly lastHealthyAtMs: () => number;
     /** Local time at which any owner was last known to be serving, which means that it has read all its rows. */
-    readonly ownerAtWorkAtMs: () => number;
+    readonly ownerServingAtMs: () => number;
     readonly knownOwner: () => KnownOwner | undefined;
     /** Log fields on what this daemon does about the owner, and on its peers. */
     readonly situation: () => Readonly<Record<string, unknown>>;
@@ -43,7 +43,7 @@
  * readiness.ready(); // false before the first configuration
  */
 export const watchReadiness = (options: ReadinessOptions): Readiness => {
-    const { clock, log, isLeaving, hasConfiguration, owns, wellAtMs, ownerAtWorkAtMs, knownOwner } = options;
+    const { clock, log, isLeaving, hasConfiguration, owns, lastHealthyAtMs, ownerServingAtMs, knownOwner } = options;
     let closed = false;
     let loggedReason: string | undefined = "starting";
     let nextWarningAfterMs = firstWarningAfterMs;
@@ -56,7 +56,7 @@
         if (!hasConfiguration()) {
             return "noConfiguration";
         }
-        if (owns() || clock.monotonicMs() - wellAtMs() < readyWithoutOwnerMs) {
+        if (owns() || clock.monotonicMs() - lastHealthyAtMs() < readyWithoutOwnerMs) {
             return undefined;
         }
         return knownOwner() === undefined ? "noOwnerKnown" : "ownerSilent";
@@ -65,7 +65,7 @@
     const ownerFields = (): Readonly<Record<string, unknown>> => ({
         owner: knownOwner()?.row.memberId,
         fencingToken: knownOwner()?.version,
-        withoutOwnerMs: Math.round(clock.monotonicMs() - ownerAtWorkAtMs()),
+        withoutOwnerMs: Math.round(clock.monotonicMs() - ownerServingAtMs()),
     });
 
     const logReadiness = (): void => {
@@ -83,7 +83,7 @@
     };
 
     const logOwner = (): void => {
-        const withoutOwnerMs = clock.monotonicMs() - ownerAtWorkAtMs();
+        const withoutOwnerMs = clock.monotonicMs() - ownerServingAtMs();
         if (withoutOwnerMs >= nextWarningAfterMs) {
             nextWarningAfterMs *= 2;
             log.write("warn", "withoutOwner", { ...ownerFields(), ...options.situation() });
--- a/packages/puffinarch/src/core/shard/roomView.ts
+++ b/packages/puffinarch/src/core/shard/roomView.ts
@@ -1,7 +1,7 @@
 /** Capacity of workers that a step may use during a pass: what is free, less what is reserved for more urgent steps. */
 
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
-import { hasWaitedLong, maxBlockedMs } from "./blockedSteps.js";
+import { isBlockedLong, maxBlockedMs } from "./blockedSteps.js";
 import type { ShardRun, ShardStep } from "./jobBook.js";
 import { roomOf, type ShardWorker } from "./workerTable.js";
 
@@ -17,14 +17,14 @@
 }
 
 /** Capacity and reservations during one pass, which visits waiting steps from the most to the least urgent. */
-export interface RoomView {
+export interface CapacityView {
     /** Reserves capacity, so that steps visited later in the pass cannot use it. */
-    keep(reservation: Reservation): void;
+    reserve(reservation: Reservation): void;
     /**
      * Capacity that a task of the step may use now, or in `aheadMs` if nothing changes; negative where more is reserved than
      * free.
      */
-    roomFor(worker: ShardWorker, step: ShardStep, aheadMs?: number): Resources;
+    capacityFor(worker: ShardWorker, step: ShardStep, aheadMs?: number): Resources;
     /**
      * Records that a task of the step was placed there. Where it took reserved capacity, other steps may not do so again
      * for some time.
@@ -60,11 +60,11 @@
 
 /** Whether a step that has been blocked for long may override a reservation; a long-running step need not await the interval. */
 const mayOverride = (step: ShardStep, reservation: Reservation, atMs: number): boolean =>
-    hasWaitedLong(step, atMs) && (step.spec.longRunning || reservation.step.passableAtMs <= atMs);
+    isBlockedLong(step, atMs) && (step.spec.longRunning || reservation.step.nextBypassAtMs <= atMs);
 
 /** Local time from which a reservation that is overridden now may be overridden again. */
 const nextOverrideAtMs = ({ step, freeAtMs }: Reservation, nowMs: number): number =>
-    nowMs + (freeAtMs - nowMs > distantStartMs ? maxBlockedMs : overrideIntervalMs * 2 ** step.timesPassed);
+    nowMs + (freeAtMs - nowMs > distantStartMs ? maxBlockedMs : overrideIntervalMs * 2 ** step.timesBypassed);
 
 /**
  * Whether a task may use reserved capacity until it is needed: it ends before, or makes progress and can be stopped then for
@@ -85,12 +85,12 @@
  * const view = createCapacityView(clock.monotonicMs());
  * view.capacityFor(worker, step);
  */
-export const createRoomView = (nowMs: number): RoomView => {
+export const createCapacityView = (nowMs: number): CapacityView => {
     const reservationsByWorker = new Map<string, Reservation[]>();
     const reservationsOn = (worker: ShardWorker): readonly Reservation[] =>
         reservationsByWorker.get(worker.workerId) ?? [];
     return {
-        keep: reservation => {
+        reserve: reservation => {
             const existing = reservationsByWorker.get(reservation.workerId);
             if (existing === undefined) {
                 reservationsByWorker.set(reservation.workerId, [reservation]);
@@ -99,7 +99,7 @@
                 existing.push(reservation);
             }
         },
-        roomFor: (worker, step, aheadMs = 0) => {
+        capacityFor: (worker, step, aheadMs = 0) => {
             let room = roomOf(worker);
             for (const reservation of reservationsOn(worker)) {
                 if (
@@ -119,9 +119,9 @@
             if (fits(held, roomOf(worker))) {
                 return;
             }
-            for (const reservation of others.filter(reservation => reservation.step.passableAtMs <= nowMs)) {
-                reservation.step.passableAtMs = nextOverrideAtMs(reservation, nowMs);
-                reservation.step.timesPassed += 1;
+            for (const reservation of others.filter(reservation => reservation.step.nextBypassAtMs <= nowMs)) {
+                reservation.step.nextBypassAtMs = nextOverrideAtMs(reservation, nowMs);
+                reservation.step.timesBypassed += 1;
             }
         },
         occupiesReserved: (worker, step) =>
--- a/packages/puffinarch/src/core/shard/runOrders.ts
+++ b/packages/puffinarch/src/core/shard/runOrders.ts
@@ -81,7 +81,7 @@
     /** Marks a run as running: its worker answered that it is there, or that it has ended there already, which the next look lists. */
     const markRunning = (run: ShardRun): void => {
         run.phase = runPhases.running;
-        run.settledAtMs = clock.monotonicMs();
+        run.absenceProvenAfterMs = clock.monotonicMs();
     };
 
     /**
@@ -94,7 +94,7 @@
         const nowMs = clock.monotonicMs();
         noteStartUnanswered(worker, run.sentAtMs ?? nowMs, nowMs);
         // Without a newer token, the worker rejects the order only once its lease deadline has passed.
-        run.settledAtMs = worker.horizonMs;
+        run.absenceProvenAfterMs = worker.leaseHorizonMs;
         options.renewToken();
         // The job's row records that the order may still arrive, for a successor.
         const committed = options.onUnanswered(run);
@@ -103,7 +103,7 @@
             options.renewToken();
         }
         if (isWanted(run) && options.token() > sentToken) {
-            run.settledAtMs = clock.monotonicMs();
+            run.absenceProvenAfterMs = clock.monotonicMs();
             options.lookSoon();
         }
     };
@@ -188,7 +188,7 @@
             timeoutMs = Math.min(maxStopTimeoutMs, 2 * timeoutMs);
             meter.count(`stops.${outcome}`);
             if (outcome === orderOutcomes.done || outcome === orderOutcomes.stale) {
-                run.settledAtMs = clock.monotonicMs();
+                run.absenceProvenAfterMs = clock.monotonicMs();
                 return;
             }
             if (endsLink(outcome, order.fencingToken)) {
--- a/packages/puffinarch/src/core/shard/shardOwner.ts
+++ b/packages/puffinarch/src/core/shard/shardOwner.ts
@@ -26,7 +26,7 @@
 import { sleep } from "../../utils/time.js";
 import { createAcceptance } from "./acceptance.js";
 import { createAccounts } from "./accounts.js";
-import { createAdviceDesk } from "./adviceDesk.js";
+import { createAdviceDispatcher } from "./adviceDesk.js";
 import type { ClaimedShard } from "./claimShard.js";
 import { createCommitLog, type RowChange } from "./commitLog.js";
 import {
@@ -42,7 +42,7 @@
 } from "./jobBook.js";
 import { decodeEnded, encodeJob, type EndedJob, restoreJobs } from "./jobRows.js";
 import { createOwnerProgress } from "./ownerProgress.js";
-import { createPlacing } from "./placing.js";
+import { createTaskPlacer } from "./placing.js";
 import { readAllRows } from "./readRows.js";
 import { createRowReader } from "./rowReader.js";
 import type { ShardSettings } from "./shardSettings.js";
@@ -137,7 +137,7 @@
 
 /** Returns the latency objective of an ended job for its log line; empty for a job that goes on, is scheduled, or has none. */
 const objectiveOf = (job: ShardJob): { readonly objectiveMs?: number; } => {
-    const objectiveMs = job.occurrences.get(0)?.course?.objectiveMs ?? Infinity;
+    const objectiveMs = job.occurrences.get(0)?.timing?.objectiveMs ?? Infinity;
     const counts = hasEnded(job) && job.submission.schedule.repeatCount === 0 && Number.isFinite(objectiveMs);
     return counts ? { objectiveMs: Math.round(objectiveMs) } : {};
 };
@@ -194,7 +194,7 @@
         part,
         ownerVersion: fencingToken,
         sequenceVersion: claimed.sequenceVersion,
-        storeMs: claimed.storeMs,
+        storeLatencyMs: claimed.storeMs,
         claimId,
         encode,
         onCommitted: version => {
@@ -211,7 +211,8 @@
         meter,
         newsAgeMs: options.newsAgeMs,
         stalledMs: commits.stalledMs,
-        lookedAtMs: () => Math.max(startedAtMs, ...[...workers.all.values()].map(({ answeredAtMs }) => answeredAtMs)),
+        newestAnswerAtMs: () =>
+            Math.max(startedAtMs, ...[...workers.all.values()].map(({ answeredAtMs }) => answeredAtMs)),
     });
 
     const commit = async (job: ShardJob): Promise<void> => {
@@ -226,11 +227,11 @@
     };
 
     const showState = (job: ShardJob, state: JobState): void => {
-        if (job.shown !== state) {
-            const { submission: { jobId }, shown } = job;
+        if (job.visibleState !== state) {
+            const { submission: { jobId }, visibleState } = job;
             const failure = state === jobStates.failed ? job.failure : undefined;
-            log.write("info", "jobState", { jobId, from: shown, to: state, ...failure, ...objectiveOf(job) });
-            job.shown = state;
+            log.write("info", "jobState", { jobId, from: visibleState, to: state, ...failure, ...objectiveOf(job) });
+            job.visibleState = state;
             if (failure !== undefined) {
                 meter.count(`jobsFailed.${failure.cause}`);
             }
@@ -251,15 +252,15 @@
 
     const shownStatusOf = (jobId: string): JobStatus | undefined => {
         const job = jobs.get(jobId);
-        if (job?.shown === undefined) {
+        if (job?.visibleState === undefined) {
             return undefined;
         }
-        return { state: job.shown, ...(job.shown === jobStates.failed ? { failure: job.failure } : {}) };
+        return { state: job.visibleState, ...(job.visibleState === jobStates.failed ? { failure: job.failure } : {}) };
     };
 
     const statusOf = async (job: JobReference): Promise<JobStatus | undefined> => {
         const { jobId } = job;
-        const status = shownStatusOf(jobId) ?? (await endedKnown).get(jobId) ?? shownStatusOf(jobId);
+        const status = shownStatusOf(jobId) ?? (await endedJobs).get(jobId) ?? shownStatusOf(jobId);
         return status === undefined || !isVisible(job) ? undefined : { state: status.state, failure: status.failure };
     };
 
@@ -289,18 +290,18 @@
         },
         onStarted: markStarted,
         wake: () => wake(),
-        onKnown: () => review.runFirst(),
+        onRunsKnown: () => review.runAndReport(),
         onFenced: () => stopFenced("worker"),
     });
 
     /** Applies the consequences of a change of a job, and commits it. */
     const commitChange = (job: ShardJob): Promise<void> => {
         if (hasEnded(job)) {
-            placing.forget(job);
+            placing.removeJob(job);
         }
         else {
             job.state = job.started ? jobStates.running : jobStates.queued;
-            placing.consider(job);
+            placing.updateJob(job);
         }
         wake();
         return commit(job).then(() => {
@@ -312,7 +313,13 @@
         });
     };
 
-    const adviceDesk = createAdviceDesk({ clock, log, meter, lanes: options.adviceLanes, call: options.callAdvice });
+    const adviceDesk = createAdviceDispatcher({
+        clock,
+        log,
+        meter,
+        lanes: options.adviceLanes,
+        call: options.callAdvice,
+    });
 
     /**
      * Waits until the worker list and the configuration are fresh. After an outage the store may commit a planned start before it
@@ -358,13 +365,13 @@
         });
     };
 
-    const placing = createPlacing({
+    const placing = createTaskPlacer({
         clock,
         log,
         meter,
         settings,
         workers: workers.all,
-        desk: adviceDesk,
+        dispatcher: adviceDesk,
         onPlanned: startPlanned,
         onPreempt: workers.stop,
         wake: () => wake(),
@@ -381,7 +388,7 @@
             passScheduled = false;
             if (!closed) {
                 const beganAtMs = clock.monotonicMs();
-                placing.pass();
+                placing.runPass();
                 passMs = clock.monotonicMs() - beganAtMs;
             }
         });
@@ -400,7 +407,7 @@
                 }
                 if (!job.occurrences.has(number) && !job.doneOccurrences.has(number)) {
                     openOccurrence(job, number);
-                    placing.consider(job);
+                    placing.updateJob(job);
                     wake();
                 }
             }
@@ -472,7 +479,7 @@
             progress.review(placing.waitingSteps());
             reviewAccounts();
         }
-        if (placing.readySteps() > 0) {
+        if (placing.activeSteps() > 0) {
             wake();
         }
         adviceDesk.wake();
@@ -480,10 +487,10 @@
     };
 
     /** Rejects with `mayHaveRun` once this daemon no longer owns the shard. */
-    const ownershipEnd = new Promise<never>((_resolve, reject) => {
+    const ownershipLost = new Promise<never>((_resolve, reject) => {
         rejectWaiting = reject;
     });
-    ownershipEnd.catch(() => {});
+    ownershipLost.catch(() => {});
 
     const close = (): void => {
         closed = true;
@@ -500,10 +507,10 @@
             nextOrder = Math.max(nextOrder, job.order + 1);
             jobs.set(job.submission.jobId, job);
         }
-        workers.expect(restored.runs);
-        workers.recallLosses(restored.losses);
+        workers.restoreRuns(restored.runs);
+        workers.restoreLosses(restored.losses);
         for (const job of jobs.values()) {
-            placing.consider(job);
+            placing.updateJob(job);
         }
         log.write("info", "shardRestored", { part, fencingToken, jobs: jobs.size, runs: restored.runs.length });
     };
@@ -525,7 +532,7 @@
             }
         }
         log.write("info", "endedRead", { part, jobs: endedEarlier.size, complete: read !== undefined });
-        return read === undefined ? ownershipEnd : endedEarlier;
+        return read === undefined ? ownershipLost : endedEarlier;
     };
 
     const openUpkeep = (): Upkeep | undefined => {
@@ -552,16 +559,16 @@
             fencingToken,
             workers: workers.all,
             stop: workers.stop,
-            lose: workerId => workers.lose(workerId, "upkeep"),
-            settleMs: upkeepSettleMs,
+            onIncarnationEnded: workerId => workers.endIncarnation(workerId, "upkeep"),
+            staleOrderWindowMs: upkeepSettleMs,
             rows,
         });
     };
 
     restoreFromRows();
     const upkeep = openUpkeep();
-    const endedKnown = readEnded();
-    endedKnown.catch(() => {});
+    const endedJobs = readEnded();
+    endedJobs.catch(() => {});
     clock.setTimer(tickMs, tick);
 
     const submit = createAcceptance({
@@ -576,24 +583,24 @@
         commits,
         commit,
         consider: job => {
-            placing.consider(job);
+            placing.updateJob(job);
             wake();
         },
-        takeBack: job => {
-            placing.forget(job);
+        dropPlannedStarts: job => {
+            placing.removeJob(job);
             for (const run of [...runsOf(job)]) {
                 workers.stop(run);
             }
         },
-        endedKnown,
-        endOfOffice: ownershipEnd,
+        endedJobs,
+        ownershipLost,
     });
 
     const cancel = async (wanted: JobReference): Promise<boolean> => {
         const { jobId } = wanted;
         const job = jobs.get(jobId);
         if (job === undefined) {
-            const hasEndedBefore = (await endedKnown).has(jobId);
+            const hasEndedBefore = (await endedJobs).has(jobId);
             return hasEndedBefore ? isVisible(wanted) : jobs.has(jobId) && cancel(wanted);
         }
         if (!isVisible(wanted)) {
@@ -601,7 +608,7 @@
         }
         cancelJob(job, clock.monotonicMs());
         log.write("info", "jobCancelled", { jobId, state: job.state });
-        await Promise.race([commitChange(job), ownershipEnd]);
+        await Promise.race([commitChange(job), ownershipLost]);
         return true;
     };
 
@@ -613,7 +620,7 @@
         pending: () => {
             const counts: Record<string, number> = {};
             for (const job of jobs.values()) {
-                if (job.shown === jobStates.queued && job.submission.schedule.repeatCount === 0) {
+                if (job.visibleState === jobStates.queued && job.submission.schedule.repeatCount === 0) {
                     counts[job.submission.queueKey] = (counts[job.submission.queueKey] ?? 0) + 1;
                 }
             }
--- a/packages/puffinarch/src/core/shard/shardSettings.ts
+++ b/packages/puffinarch/src/core/shard/shardSettings.ts
@@ -1,12 +1,12 @@
 /** Timings, limits and policies of a shard's owner; all can be configured. */
 
 import type { Packing } from "./chooseWorker.js";
-import type { TurnOrder } from "./urgency.js";
+import type { SchedulingOrder } from "./urgency.js";
 
 /** Scheduling policies, each selected by name, so that alternatives can be compared on live work. */
 export interface ShardPolicies {
     /** Order in which waiting steps are placed. */
-    readonly order: TurnOrder;
+    readonly order: SchedulingOrder;
     /** Which of the workers with free room are preferred. */
     readonly packing: Packing;
     /** Whether room is reserved, and less urgent runs are preempted, for tasks that do not fit anywhere. */
--- a/packages/puffinarch/src/core/shard/shardWorkers.ts
+++ b/packages/puffinarch/src/core/shard/shardWorkers.ts
@@ -5,7 +5,7 @@
 import type { WorkerEntry } from "../../types/work.js";
 import { sleep } from "../../utils/time.js";
 import { createCorrelatedCrashes } from "./correlatedCrashes.js";
-import { type CrashedRun, crashedRuns, needsTrial, noteConfirmed } from "./crashes.js";
+import { type CrashedRun, crashedRuns, needsTrial, recordConfirmedRuns } from "./crashes.js";
 import { createDelayedStarts, type DelayedStart } from "./delayedStarts.js";
 import { createFirstLooks } from "./firstLooks.js";
 import { incarnationOf, isOtherIncarnation } from "./incarnations.js";
@@ -50,7 +50,7 @@
     /** Called when capacity may have become free. */
     readonly wake: () => void;
     /** Called once, when every worker that answers has reported its runs. */
-    readonly onKnown: () => void;
+    readonly onRunsKnown: () => void;
     /** Called when a worker has rejected a call because it has seen another owner's higher token. */
     readonly onFenced: () => void;
 }
@@ -59,9 +59,9 @@
 export interface ShardWorkers {
     readonly all: ReadonlyMap<string, ShardWorker>;
     /** Adds runs whose intent a former owner made durable. Each holds capacity until its worker's first look settles it. */
-    expect(runs: readonly StoredRun[]): void;
+    restoreRuns(runs: readonly StoredRun[]): void;
     /** Adds losses that a former owner left unresolved: runs on workers that may have crashed. */
-    recallLosses(losses: readonly RestoredLoss[]): void;
+    restoreLosses(losses: readonly RestoredLoss[]): void;
     /**
      * Applies the platform's current list: all entries, the ids of workers whose entry cannot be read, and the age that the
      * former list may have had.
@@ -71,7 +71,7 @@
     /** Stops a run; one that is only planned is dropped at once. */
     stop(run: ShardRun): void;
     /** Ends a worker's incarnation, on which surely nothing runs any more. */
-    lose(workerId: string, reason: string): void;
+    endIncarnation(workerId: string, reason: string): void;
     /** Drops runs whose leases have expired by now. */
     checkLeases(nowMs: number): void;
     close(): void;
@@ -149,7 +149,7 @@
         meter,
         jobOf,
         onChange: job => changedJobs.add(job),
-        othersAt: correlatedCrashes.othersAt,
+        countOthersAt: correlatedCrashes.countOthersAt,
         stop: (worker, run) => links.get(worker.workerId)?.stop(run),
         onStuck: (worker, run) => {
             worker.avoidUntilMs = Math.max(worker.avoidUntilMs, clock.monotonicMs() + settings.stuckWorkerRestMs);
@@ -239,7 +239,7 @@
             listed: listing.get(workerId),
             // Late orders for the former incarnation may have reached this one. Their deadlines are on the former clock, so
             // each may give the longest lease that a worker grants.
-            horizonMs: nowMs + settings.leaseLimitMs / slowestClockRate,
+            leaseHorizonMs: nowMs + settings.leaseLimitMs / slowestClockRate,
             nowMs,
         });
         workers.set(workerId, next);
@@ -267,7 +267,7 @@
         worker.undecided.clear();
         if (!isLeaving(worker)) {
             const { workerId, entry: { address } } = worker;
-            lostRuns.lose({ workerId, address }, crashed, clock.monotonicMs());
+            lostRuns.add({ workerId, address }, crashed, clock.monotonicMs());
         }
     };
 
@@ -277,16 +277,16 @@
     const reportAllKnown = (): void => {
         if (
             allKnown || links.size === 0
-            || [...workers.values()].some(worker => !worker.certain && worker.silentLooks === 0)
+            || [...workers.values()].some(worker => !worker.runsKnown && worker.silentLooks === 0)
         ) {
             return;
         }
         allKnown = true;
-        const silent = [...workers.values()].filter(worker => !worker.certain).length;
+        const silent = [...workers.values()].filter(worker => !worker.runsKnown).length;
         const afterMs = Math.round(clock.monotonicMs() - startedAtMs);
         meter.record("workersKnownMs", afterMs);
         log.write("info", "workersKnown", { afterMs, workers: workers.size, silent });
-        options.onKnown();
+        options.onRunsKnown();
     };
 
     const openLink = (worker: ShardWorker): WorkerLink => {
@@ -307,10 +307,10 @@
             unansweredStartMs: settings.unansweredStartMs,
             ticketsNameIncarnation: settings.ticketsNameIncarnation,
             onLook: async (seen, look, sentAtMs) => {
-                const wereRunsKnown = seen.certain;
+                const wereRunsKnown = seen.runsKnown;
                 watch.countCrashes(seen.workerId, lostRuns.answered(seen));
                 correlatedCrashes.answered(seen);
-                const newest = watch.take(seen, look, sentAtMs);
+                const newest = watch.applyLook(seen, look, sentAtMs);
                 pacer.review(seen, (run, percent) => links.get(seen.workerId)?.pace(run, percent));
                 // A look may list ends again that an earlier look brought and that are still being committed.
                 const written = Promise.all([seen.endsWritten, commitChangedJobs()]).then(() => {
@@ -330,10 +330,10 @@
                 const crashed = crashedRuns(silent, nowMs);
                 // Workers that are silent from the takeover on are all noticed at the same moment, which does not show when
                 // they failed.
-                if (silent.certain) {
+                if (silent.runsKnown) {
                     correlatedCrashes.note(silent, nowMs, crashed);
                 }
-                noteConfirmed(crashed).forEach(job => changedJobs.add(job));
+                recordConfirmedRuns(crashed).forEach(job => changedJobs.add(job));
                 void commitChangedJobs();
             },
             onIncarnationOver: gone => loseWorker(gone, "otherIncarnation"),
@@ -345,7 +345,7 @@
                 const { step } = run.task;
                 if (outcome === "badTicket") {
                     step.advice.good.delete(holder.workerId);
-                    step.advice.asked.delete(holder.workerId);
+                    step.advice.askedWorkerIds.delete(holder.workerId);
                 }
                 else {
                     holder.avoidUntilMs = Math.max(holder.avoidUntilMs, clock.monotonicMs() + settings.retryAfterMs);
@@ -404,7 +404,7 @@
             address,
             bornAtMs,
             phase: runPhases.running,
-            settledAtMs: 0,
+            absenceProvenAfterMs: 0,
             absent,
             mayHaveCrashed,
         });
@@ -514,8 +514,8 @@
         // The last worker that had not answered may count as silent by now.
         reportAllKnown();
         for (const worker of [...workers.values()]) {
-            const silent = worker.silentLooks > 0 || !worker.certain;
-            if (!silent || nowMs <= worker.horizonMs) {
+            const silent = worker.silentLooks > 0 || !worker.runsKnown;
+            if (!silent || nowMs <= worker.leaseHorizonMs) {
                 continue;
             }
             const over = [...worker.runs.values()].filter(run => !mayRunUnseen(worker, run, nowMs));
@@ -535,7 +535,7 @@
         void commitChangedJobs();
     };
 
-    const expect = (runs: readonly StoredRun[]): void => {
+    const restoreRuns = (runs: readonly StoredRun[]): void => {
         for (const stored of runs) {
             const known = storedRunsByWorker.get(stored.workerId) ?? [];
             known.push(stored);
@@ -550,16 +550,16 @@
 
     return {
         all: workers,
-        expect,
-        recallLosses: losses => {
+        restoreRuns,
+        restoreLosses: losses => {
             for (const { workerId, address, crashed } of losses) {
-                lostRuns.lose({ workerId, address }, [crashed], clock.monotonicMs());
+                lostRuns.add({ workerId, address }, [crashed], clock.monotonicMs());
             }
         },
         update: updateWorkers,
         start: (run, ticket) => links.get(run.workerId)?.start(run, run.task.checkpoint, ticket),
         stop: stopRun,
-        lose: (workerId, reason) => {
+        endIncarnation: (workerId, reason) => {
             const worker = workers.get(workerId);
             if (worker !== undefined) {
                 loseWorker(worker, reason);
--- a/packages/puffinarch/src/core/shard/shortOffices.ts
+++ b/packages/puffinarch/src/core/shard/shortOffices.ts
@@ -47,7 +47,7 @@
  * @example
  * timeoutFactor({ shortOffices: 2 }); // 4
  */
-export const patienceFactor = ({ shortOffices = 0 }: Pick<OwnerRow, "shortOffices">): number =>
+export const timeoutFactor = ({ shortOffices = 0 }: Pick<OwnerRow, "shortOffices">): number =>
     2 ** Math.min(maxDoublings, shortOffices);
 
 /**
@@ -57,7 +57,7 @@
  * @example
  * settlingMs({ shortOffices: 1 }); // 10000
  */
-export const settlingMs = (row: Pick<OwnerRow, "shortOffices">): number => settlingBaseMs * patienceFactor(row);
+export const settlingMs = (row: Pick<OwnerRow, "shortOffices">): number => settlingBaseMs * timeoutFactor(row);
 
 /**
  * Returns the number of consecutive short tenures to store in a new owner's row.
@@ -65,7 +65,7 @@
  * @example
  * countShortTenures({ previous: row, lastedMs: 1_200, why: "ownerSilent" }); // one more than in the row
  */
-export const countShortOffices = (
+export const countShortTenures = (
     { previous, lastedMs, why }: {
         readonly previous: Pick<OwnerRow, "shortOffices"> | undefined;
         readonly lastedMs: number;
--- a/packages/puffinarch/src/core/shard/tableWatch.ts
+++ b/packages/puffinarch/src/core/shard/tableWatch.ts
@@ -16,7 +16,7 @@
     /** Called with new, changed and removed rows; a removed row has no value. */
     readonly onRows: (rows: readonly Row[]) => void;
     /** Called after each snapshot with the keys of all its rows; rows with other keys no longer exist. */
-    readonly onWhole: (keys: ReadonlySet<string>) => void;
+    readonly onSnapshot: (keys: ReadonlySet<string>) => void;
     /** Pause between calls for changes, which limits the calls for a table that changes constantly; none where it is left out. */
     readonly pauseMs?: number;
     /** Longest wait of the store for a change before it answers, which bounds the time to detect a dead connection. */
@@ -60,7 +60,7 @@
  * const watch = watchTable({ clock, log, store, table: "puffinarch-member", parts: [""], onRows, onSnapshot });
  */
 export const watchTable = (
-    { clock, log, store, table, parts, onRows, onWhole, pauseMs, feedWaitMs }: TableWatchOptions,
+    { clock, log, store, table, parts, onRows, onSnapshot, pauseMs, feedWaitMs }: TableWatchOptions,
 ): TableWatch => {
     let stopped = false;
     let lastCallSentAt: Moment | undefined;
@@ -93,7 +93,7 @@
             }
             onRows(rows);
         }
-        onWhole(keys);
+        onSnapshot(keys);
         lastCallSentAt = sentAt;
         return oldest;
     };
--- a/packages/puffinarch/src/core/shard/taskReview.ts
+++ b/packages/puffinarch/src/core/shard/taskReview.ts
@@ -14,16 +14,16 @@
     stepNameOf,
     stepsOf,
 } from "./jobBook.js";
-import type { Placing } from "./placing.js";
+import type { TaskPlacer } from "./placing.js";
 import {
-    countStands,
+    type AvailabilityCounts,
+    awaitsStart,
+    countAvailabilities,
     describeAvoided,
-    isDue,
-    type StandCounts,
     type TaskWait,
     taskWaitOf,
     waitBoundsMs,
-    workerStands,
+    workerAvailabilities,
 } from "./taskWait.js";
 import type { ShardWorker } from "./workerTable.js";
 
@@ -34,7 +34,7 @@
     readonly meter: Meter;
     readonly jobs: ReadonlyMap<string, ShardJob>;
     readonly workers: ReadonlyMap<string, ShardWorker>;
-    readonly placing: Pick<Placing, "consider" | "holds">;
+    readonly placing: Pick<TaskPlacer, "updateJob" | "isQueued">;
 }
 
 /** Reviews the tasks of a shard. */
@@ -42,7 +42,7 @@
     /** Reviews every accepted task and hands steps that the placing has lost to it again; returns their number. */
     run(): number;
     /** The same, and logs how many tasks wait; for a new owner that has just learnt what its workers run. */
-    runFirst(): void;
+    runAndReport(): void;
 }
 
 /** A task that waits, and the local time of the first review that found it waiting. */
@@ -63,11 +63,11 @@
 interface ExplainedWait extends Waiting {
     readonly waitedMs: number;
     readonly wait: TaskWait;
-    readonly counts: StandCounts;
+    readonly counts: AvailabilityCounts;
 }
 
-const formatCounts = (counts: StandCounts): string =>
-    workerStands.filter(stand => counts[stand] > 0).map(stand => `${stand} ${counts[stand]}`).join(" ");
+const formatCounts = (counts: AvailabilityCounts): string =>
+    workerAvailabilities.filter(stand => counts[stand] > 0).map(stand => `${stand} ${counts[stand]}`).join(" ");
 
 const countBy = (waits: readonly TaskWait[]): string => {
     const counts = new Map<TaskWait, number>();
@@ -93,7 +93,7 @@
      * step, 0 otherwise.
      */
     const recover = (step: ShardStep, found: number): number => {
-        if (placing.holds(step) || !step.tasks.some(isWaiting)) {
+        if (placing.isQueued(step) || !step.tasks.some(isWaiting)) {
             return 0;
         }
         if (found < maxForgottenLines) {
@@ -103,12 +103,12 @@
             });
         }
         meter.count("stepsForgotten");
-        placing.consider(step.occurrence.job);
+        placing.updateJob(step.occurrence.job);
         return 1;
     };
 
     const explain = (waiting: Waiting, nowMs: number): ExplainedWait => {
-        const counts = countStands(waiting.task.step, { workers, nowMs });
+        const counts = countAvailabilities(waiting.task.step, { workers, nowMs });
         return {
             ...waiting,
             waitedMs: nowMs - waiting.sinceMs,
@@ -163,7 +163,7 @@
                 }
                 forgotten += recover(step, forgotten);
                 for (const task of step.tasks) {
-                    if (isDue(task)) {
+                    if (awaitsStart(task)) {
                         next.set(task, waitingTasks.get(task) ?? { task, sinceMs: nowMs });
                     }
                 }
@@ -176,7 +176,7 @@
 
     return {
         run,
-        runFirst: () => {
+        runAndReport: () => {
             const forgotten = run();
             log.write("info", "tasksReviewed", { jobs: jobs.size, waiting: waitingTasks.size, forgotten });
         },
--- a/packages/puffinarch/src/core/shard/taskWait.ts
+++ b/packages/puffinarch/src/core/shard/taskWait.ts
@@ -3,9 +3,25 @@
 import { fits } from "../../types/resources.js";
 import { avoidedBy, avoidedByAll, awaitedBy } from "./avoidance.js";
 import { needsTrial } from "./crashes.js";
-import { allowsAnother, countRuns, isAtCap, isEligible, placesIn, placesNeeded, ticketFor } from "./eligible.js";
-import { hasEnded, heldBy, isReady, isWaiting, runPhases, type ShardStep, type ShardTask } from "./jobBook.js";
-import { isKeptFrom, startable } from "./trials.js";
+import {
+    allowsAnotherRun,
+    countRuns,
+    countTasksThatFit,
+    isAtCap,
+    isEligible,
+    minTasksToStart,
+    ticketFor,
+} from "./eligible.js";
+import {
+    hasEnded,
+    isReady,
+    isWaiting,
+    reservedResources,
+    runPhases,
+    type ShardStep,
+    type ShardTask,
+} from "./jobBook.js";
+import { isBlockedByTrial, startableTasks } from "./trials.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
 /** Events that a task can wait for once its step is ready. */
@@ -71,7 +87,7 @@
 };
 
 /** Why a worker can or cannot take a task of a waiting step now; the first state that applies. */
-export const workerStands = [
+export const workerAvailabilities = [
     /** Missing from the platform's list of workers, or never listed to this owner. */
     "unlisted",
     /** Draining, or its VM is about to go down. */
@@ -92,46 +108,46 @@
     "free",
 ] as const;
 /** One of `workerAvailabilities`. */
-export type WorkerStand = (typeof workerStands)[number];
+export type WorkerAvailability = (typeof workerAvailabilities)[number];
 
 /** Number of the workers that could run a step, by state. */
-export type StandCounts = Readonly<Record<WorkerStand, number>>;
+export type AvailabilityCounts = Readonly<Record<WorkerAvailability, number>>;
 
 /** The workers and the local time for which they are examined. */
-export interface WorkersNow {
+export interface WorkerSnapshot {
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly nowMs: number;
 }
 
-interface StateOptions extends WorkersNow {
+interface StateOptions extends WorkerSnapshot {
     /** Workers that all waiting tasks of the step avoid. */
     readonly avoided: ReadonlySet<string>;
     /** Live runs of the step on the worker. */
     readonly runsHere: number;
 }
 
-const stateOf = (worker: ShardWorker, step: ShardStep, options: StateOptions): WorkerStand => {
+const stateOf = (worker: ShardWorker, step: ShardStep, options: StateOptions): WorkerAvailability => {
     const { runsHere, avoided, workers, nowMs } = options;
     if (worker.entry.draining || worker.cordoned) {
         return "leaving";
     }
-    if (!worker.certain) {
+    if (!worker.runsKnown) {
         return "uncertain";
     }
     if (worker.silentLooks > 0) {
         return "silent";
     }
-    if (isKeptFrom(worker, step.occurrence.job, { workers, nowMs })) {
+    if (isBlockedByTrial(worker, step.occurrence.job, { workers, nowMs })) {
         return "resting";
     }
     if (!isOpen(worker, nowMs)) {
         return worker.unlistedAtMs === undefined ? "resting" : "unlisted";
     }
-    const { asked, good } = step.advice;
+    const { askedWorkerIds: asked, good } = step.advice;
     if (asked.has(worker.workerId) && !good.has(worker.workerId)) {
         return "barred";
     }
-    if (!allowsAnother(step.spec, runsHere) || !fits(heldBy(step.spec), roomOf(worker))) {
+    if (!allowsAnotherRun(step.spec, runsHere) || !fits(reservedResources(step.spec), roomOf(worker))) {
         return "full";
     }
     // This comes before `noTicket`, since the advisor is not asked about workers that the step avoids.
@@ -142,7 +158,7 @@
 };
 
 /** Creates a function that gives the state of a worker for a step. */
-const createClassifier = (step: ShardStep, now: WorkersNow): (worker: ShardWorker) => WorkerStand => {
+const createClassifier = (step: ShardStep, now: WorkerSnapshot): (worker: ShardWorker) => WorkerAvailability => {
     const runs = countRuns(step);
     const avoided = avoidedByAll(step, now);
     return worker => stateOf(worker, step, { ...now, runsHere: runs.get(worker.workerId) ?? 0, avoided });
@@ -155,7 +171,7 @@
  * @example
  * countAvailabilities(step, { workers, nowMs: clock.monotonicMs() }).silent;
  */
-export const countStands = (step: ShardStep, now: WorkersNow): StandCounts => {
+export const countAvailabilities = (step: ShardStep, now: WorkerSnapshot): AvailabilityCounts => {
     const counts = {
         unlisted: 0,
         leaving: 0,
@@ -181,19 +197,19 @@
 };
 
 /** Whether the workers in one of these states have capacity for all tasks that must start together. */
-const haveCapacity = (states: readonly WorkerStand[], step: ShardStep, now: WorkersNow): boolean => {
+const haveCapacity = (states: readonly WorkerAvailability[], step: ShardStep, now: WorkerSnapshot): boolean => {
     const classify = createClassifier(step, now);
     const runs = countRuns(step);
-    let needed = placesNeeded(step);
+    let needed = minTasksToStart(step);
     for (const worker of now.workers.values()) {
         if (isEligible(worker, step) && states.includes(classify(worker))) {
-            needed -= placesIn(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
+            needed -= countTasksThatFit(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
         }
     }
     return needed <= 0;
 };
 
-const workerWaitOf = (step: ShardStep, counts: StandCounts, now: WorkersNow): TaskWait => {
+const workerWaitOf = (step: ShardStep, counts: AvailabilityCounts, now: WorkerSnapshot): TaskWait => {
     const { advice } = step;
     if (counts.free > 0 && haveCapacity(["free"], step, now)) {
         return taskWaits.turn;
@@ -226,7 +242,7 @@
  * @example
  * describeAvoided(task, { workers, nowMs }); // "avoids i-7f3a91c2 for 812 ms; awaits i-20bd11e9 full"
  */
-export const describeAvoided = (task: ShardTask, now: WorkersNow): string => {
+export const describeAvoided = (task: ShardTask, now: WorkerSnapshot): string => {
     const avoided = [...avoidedBy(task, now)];
     if (avoided.length === 0) {
         return "";
@@ -246,7 +262,7 @@
  * @example
  * awaitsStart(task); // false while a predecessor of its step is not done
  */
-export const isDue = (task: ShardTask): boolean => {
+export const awaitsStart = (task: ShardTask): boolean => {
     const { step } = task;
     const { job } = step.occurrence;
     return job.stored && !hasEnded(job) && !task.done && isReady(step)
@@ -259,7 +275,7 @@
  * @example
  * if (awaitsStart(task)) { taskWaitOf(task, countAvailabilities(task.step, { workers, nowMs }), { workers, nowMs }); } // "room"
  */
-export const taskWaitOf = (task: ShardTask, counts: StandCounts, now: WorkersNow): TaskWait => {
+export const taskWaitOf = (task: ShardTask, counts: AvailabilityCounts, now: WorkerSnapshot): TaskWait => {
     const { step, runs } = task;
     if (runs.some(run => run.phase === runPhases.starting)) {
         return taskWaits.startAnswer;
@@ -273,7 +289,7 @@
     if (step.spec.gang && !step.tasks.every(isWaiting)) {
         return taskWaits.members;
     }
-    if (needsTrial(task) || !startable(step, step.tasks.filter(isWaiting), now).includes(task)) {
+    if (needsTrial(task) || !startableTasks(step, step.tasks.filter(isWaiting), now).includes(task)) {
         return taskWaits.trial;
     }
     return isAtCap(step) ? taskWaits.cap : workerWaitOf(step, counts, now);
--- a/packages/puffinarch/src/core/shard/trials.ts
+++ b/packages/puffinarch/src/core/shard/trials.ts
@@ -4,7 +4,7 @@
  * a worker by itself until it is at work.
  */
 
-import { atWorkMs, awaitsVerdict, isNearEnd, needsTrial } from "./crashes.js";
+import { atWorkMs, awaitsCrashConfirmation, isNearCrashLimit, needsTrial } from "./crashes.js";
 import { jobOf, runPhases, type ShardJob, type ShardRun, type ShardStep, type ShardTask } from "./jobBook.js";
 import { runKey, type ShardWorker } from "./workerTable.js";
 
@@ -44,7 +44,7 @@
  * @example
  * if (fellSilentAtStart(run, worker)) { return; }
  */
-export const fellAtStart = ({ sentAtMs }: ShardRun, { silentSinceMs }: ShardWorker): boolean =>
+export const fellSilentAtStart = ({ sentAtMs }: ShardRun, { silentSinceMs }: ShardWorker): boolean =>
     silentSinceMs !== undefined && sentAtMs !== undefined && silentSinceMs - sentAtMs < atWorkMs;
 
 const hasCrashed = ({ crashes }: ShardTask): boolean => crashes > 0;
@@ -59,7 +59,7 @@
     for (const task of tasks) {
         for (const run of task.runs) {
             const worker = workers.get(run.workerId);
-            if (worker !== undefined && fellAtStart(run, worker)) {
+            if (worker !== undefined && fellSilentAtStart(run, worker)) {
                 silent.add(worker.workerId);
             }
         }
@@ -80,12 +80,12 @@
  * @example
  * for (const task of startableTasks(step, waiting, { workers, nowMs })) { place(task); }
  */
-export const startable = (
+export const startableTasks = (
     step: ShardStep,
     all: readonly ShardTask[],
     snapshot: WorkerSnapshot,
 ): readonly ShardTask[] => {
-    const waiting = all.filter(task => !awaitsVerdict(task, snapshot.nowMs));
+    const waiting = all.filter(task => !awaitsCrashConfirmation(task, snapshot.nowMs));
     if (step.spec.gang) {
         return waiting;
     }
@@ -115,7 +115,7 @@
  * @example
  * isBlockedByTrial(worker, step.occurrence.job, { workers, nowMs });
  */
-export const isKeptFrom = (
+export const isBlockedByTrial = (
     { trial, trialHold, runs }: ShardWorker,
     job: ShardJob,
     snapshot: WorkerSnapshot,
@@ -127,7 +127,7 @@
         && !isAtWork(trial, snapshot);
 };
 
-const maxTrialWaitMsOf = (task: ShardTask): number => isNearEnd(task) ? maxTrialWaitNearLimitMs : maxTrialWaitMs;
+const maxTrialWaitMsOf = (task: ShardTask): number => isNearCrashLimit(task) ? maxTrialWaitNearLimitMs : maxTrialWaitMs;
 
 /**
  * Whether a start to the worker went unanswered so lately that it may still be in flight, and be carried out by the next
@@ -181,7 +181,7 @@
         return;
     }
     const able = candidates.filter(worker =>
-        !isHeld(worker) && hasNoLongRunningRuns(worker) && !isKeptFrom(worker, job, snapshot)
+        !isHeld(worker) && hasNoLongRunningRuns(worker) && !isBlockedByTrial(worker, job, snapshot)
     )
         .sort((left, right) => countOtherRuns(left, job) - countOtherRuns(right, job));
     const [chosen] = able;
@@ -205,7 +205,7 @@
  * @example
  * const value = -crashExposureOf(worker, job, isSuspect(step));
  */
-export const companyOf = ({ runs }: ShardWorker, job: ShardJob, suspect: boolean): number => {
+export const crashExposureOf = ({ runs }: ShardWorker, job: ShardJob, suspect: boolean): number => {
     let harmed = 0;
     for (const run of runs.values()) {
         if (jobOf(run) !== job && !run.absent && (suspect || hasCrashed(run.task))) {
--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -34,12 +34,12 @@
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly stop: (run: ShardRun) => void;
     /** Called when the worker's incarnation is over. */
-    readonly lose: (workerId: string) => void;
+    readonly onIncarnationEnded: (workerId: string) => void;
     /**
      * For this long after the claim, a VM that a former owner may have ordered is left alone, unless it is listed in maintenance, since
      * an order of the former owner may still arrive. 0 if the platform rejects lower fencing tokens.
      */
-    readonly settleMs: number;
+    readonly staleOrderWindowMs: number;
     readonly rows: Pick<WaveRows, "read" | "record" | "show">;
 }
 
@@ -221,7 +221,7 @@
             if (vm.state === vmStates.upkeep) {
                 setPhase(progress, phases.begun);
             }
-            else if (nowMs - claimedAtMs > options.settleMs) {
+            else if (nowMs - claimedAtMs > options.staleOrderWindowMs) {
                 setPhase(progress, phases.waiting);
             }
         }
@@ -230,7 +230,7 @@
             && hasNextIncarnation(progress, vm)
         ) {
             if (vm.workerId !== progress.workerId) {
-                options.lose(progress.workerId);
+                options.onIncarnationEnded(progress.workerId);
             }
             progress.down = false;
         }
@@ -371,7 +371,7 @@
             }
             const { begun, ordered } = records.get(wave.number) ?? { begun: new Set(), ordered: new Map() };
             const nowMs = clock.monotonicMs();
-            const mayArrive = options.settleMs > 0 && nowMs - claimedAtMs <= options.settleMs;
+            const mayArrive = options.staleOrderWindowMs > 0 && nowMs - claimedAtMs <= options.staleOrderWindowMs;
             const phaseOf = (vmId: string): VmProgress["phase"] =>
                 begun.has(vmId)
                     ? phases.begun
--- a/packages/puffinarch/src/core/shard/urgency.ts
+++ b/packages/puffinarch/src/core/shard/urgency.ts
@@ -4,7 +4,7 @@
 import type { Resources } from "../../types/resources.js";
 import { newAccount, tasksUnderCap } from "./accounts.js";
 import { isEligible } from "./eligible.js";
-import { heldBy, type ShardOccurrence, type ShardStep } from "./jobBook.js";
+import { reservedResources, type ShardOccurrence, type ShardStep } from "./jobBook.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** Whether the job of a step can still end in time to be of value to its caller. */
@@ -55,7 +55,7 @@
 };
 
 const wavesOf = (step: ShardStep, workers: ReadonlyMap<string, ShardWorker>): number => {
-    const held = heldBy(step.spec);
+    const held = reservedResources(step.spec);
     let maxTasks = 0;
     for (const worker of workers.values()) {
         if (isEligible(worker, step)) {
@@ -79,15 +79,15 @@
             (lengthsMs[index] ?? 0) + Math.max(0, ...step.spec.after.map(predecessor => headsMs[predecessor] ?? 0)),
         );
     }
-    const tailsMs = [...lengthsMs];
+    const remainingByStepMs = [...lengthsMs];
     for (const [index, step] of [...steps.entries()].reverse()) {
         for (const predecessor of step.spec.after) {
-            const pathMs = (lengthsMs[predecessor] ?? 0) + (tailsMs[index] ?? 0);
-            tailsMs[predecessor] = Math.max(tailsMs[predecessor] ?? 0, pathMs);
+            const pathMs = (lengthsMs[predecessor] ?? 0) + (remainingByStepMs[index] ?? 0);
+            remainingByStepMs[predecessor] = Math.max(remainingByStepMs[predecessor] ?? 0, pathMs);
         }
     }
     const objectiveMs = stretch === 0 ? Infinity : stretch * Math.max(0, ...headsMs) + targetRuntimeMs;
-    occurrence.course = { objectiveMs, tailsMs };
+    occurrence.timing = { objectiveMs, remainingByStepMs };
 };
 
 const startOf = ({ job, number }: ShardOccurrence): number => {
@@ -107,20 +107,20 @@
     wallMs: number,
 ): RankedStep => {
     const { occurrence, spec, number } = step;
-    if (occurrence.course === undefined && workers.size > 0) {
+    if (occurrence.timing === undefined && workers.size > 0) {
         setCourse(occurrence, workers);
     }
-    const { course } = occurrence;
-    if (course === undefined || spec.longRunning || !Number.isFinite(course.objectiveMs)) {
+    const { timing } = occurrence;
+    if (timing === undefined || spec.longRunning || !Number.isFinite(timing.objectiveMs)) {
         return { step, standing: standings.onTime, dueAtMs: Infinity };
     }
     const startMs = startOf(occurrence);
-    const dueAtMs = startMs + course.objectiveMs;
-    const endsAtMs = wallMs + remainingTimeFactor * (course.tailsMs[number] ?? 0);
+    const dueAtMs = startMs + timing.objectiveMs;
+    const endsAtMs = wallMs + remainingTimeFactor * (timing.remainingByStepMs[number] ?? 0);
     if (endsAtMs <= dueAtMs) {
         return { step, standing: standings.onTime, dueAtMs };
     }
-    const standing = endsAtMs <= startMs + lateFactor * course.objectiveMs ? standings.late : standings.overdue;
+    const standing = endsAtMs <= startMs + lateFactor * timing.objectiveMs ? standings.late : standings.overdue;
     return { step, standing, dueAtMs };
 };
 
@@ -143,7 +143,7 @@
     || byAcceptance(left, right);
 
 /** Scheduling orders of waiting steps, as compare functions. */
-export const turnOrders = {
+export const schedulingOrders = {
     /** By priority, then first come, first served. */
     acceptance: (left: RankedStep, right: RankedStep): number => byPriority(left, right) || byAcceptance(left, right),
     /**
@@ -158,13 +158,13 @@
         byPriority(left, right) || byShare(left, right) || byDueOrder(left, right),
 } as const;
 /** Name of a scheduling order. */
-export type TurnOrder = keyof typeof turnOrders;
+export type SchedulingOrder = keyof typeof schedulingOrders;
 
 /** Clock, workers and scheduling order by which steps are sorted. */
-export interface TurnOptions {
+export interface SchedulingOrderOptions {
     readonly clock: Clock;
     readonly workers: ReadonlyMap<string, ShardWorker>;
-    readonly order: TurnOrder;
+    readonly order: SchedulingOrder;
 }
 
 /**
@@ -173,11 +173,14 @@
  * @example
  * inSchedulingOrder(ready, { clock, workers, order: "due" });
  */
-export const inTurn = (steps: Iterable<ShardStep>, { clock, workers, order }: TurnOptions): readonly RankedStep[] => {
+export const inSchedulingOrder = (
+    steps: Iterable<ShardStep>,
+    { clock, workers, order }: SchedulingOrderOptions,
+): readonly RankedStep[] => {
     const wallMs = clock.nowMs();
     const ranked: RankedStep[] = [];
     for (const step of steps) {
         ranked.push(rankStep(step, workers, wallMs));
     }
-    return ranked.sort(turnOrders[order]);
+    return ranked.sort(schedulingOrders[order]);
 };
--- a/packages/puffinarch/src/core/shard/workerLink.ts
+++ b/packages/puffinarch/src/core/shard/workerLink.ts
@@ -115,7 +115,7 @@
     let deliveredAcknowledgedEnd = 0;
     /** Local time of the newest answer, or of the first look before any answer. */
     let lastAnswerAtMs = clock.monotonicMs();
-    let patienceMs = minPatienceMs;
+    let answerTimeoutMs = minPatienceMs;
     let endPause: (() => void) | undefined;
     /** Whether the next look must not wait. A look under way is abandoned then if it waits. */
     let lookWanted = false;
@@ -170,11 +170,11 @@
      * and all that runs there would end.
      */
     const isOwnDelay = (sentAtMs: number, waitMs: number): boolean => {
-        const overdueMs = clock.monotonicMs() - sentAtMs - waitMs - patienceMs;
+        const overdueMs = clock.monotonicMs() - sentAtMs - waitMs - answerTimeoutMs;
         if (overdueMs <= ownDelayThresholdMs) {
             return false;
         }
-        patienceMs = Math.min(maxPatienceMs, 2 * patienceMs);
+        answerTimeoutMs = Math.min(maxPatienceMs, 2 * answerTimeoutMs);
         return clock.monotonicMs() - lastAnswerAtMs <= ownDelayGraceMs;
     };
 
@@ -210,7 +210,8 @@
      * look has listed.
      */
     const mayHaveOrdersInFlight = (): boolean =>
-        options.delayedStarts.of(worker.workerId).length > 0 || [...worker.runs.values()].some(({ shown }) => !shown);
+        options.delayedStarts.of(worker.workerId).length > 0
+        || [...worker.runs.values()].some(({ wasListed }) => !wasListed);
 
     const lookOnce = async (answered: () => void): Promise<void> => {
         const sentAtMs = clock.monotonicMs();
@@ -227,7 +228,7 @@
         const acknowledgedEnd = acknowledgedNow();
         lastLookAnswered = false;
         const sentToken = token;
-        const order = { fencingToken: sentToken, acknowledgedEnd, deadlineMs, waitMs, patienceMs };
+        const order = { fencingToken: sentToken, acknowledgedEnd, deadlineMs, waitMs, answerTimeoutMs };
         const look = await answerUnlessAbandoned(workers.look(target(), order), waitMs);
         answered();
         if (closed || look === undefined) {
@@ -248,7 +249,7 @@
             worker.silentLooks = 0;
             worker.silentSinceMs = undefined;
             lastAnswerAtMs = nowMs;
-            patienceMs = nowMs - sentAtMs < waitMs + minPatienceMs ? minPatienceMs : patienceMs;
+            answerTimeoutMs = nowMs - sentAtMs < waitMs + minPatienceMs ? minPatienceMs : answerTimeoutMs;
             await options.onLook(worker, look, sentAtMs);
             return;
         }
@@ -317,7 +318,7 @@
         stop: run => {
             if (run.phase !== runPhases.stopping) {
                 run.phase = runPhases.stopping;
-                run.settledAtMs = undefined;
+                run.absenceProvenAfterMs = undefined;
                 void orders.stop(run);
             }
         },
--- a/packages/puffinarch/src/core/shard/workerList.ts
+++ b/packages/puffinarch/src/core/shard/workerList.ts
@@ -55,7 +55,7 @@
                 onWorkers([...entries.values()], unreadable);
             }
         },
-        onWhole: keys => {
+        onSnapshot: keys => {
             readOnce = true;
             for (const workerId of [...entries.keys(), ...unreadable]) {
                 if (!keys.has(workerId)) {
