--- a/packages/puffinarch/src/core/shard/workerTable.ts
+++ b/packages/puffinarch/src/core/shard/workerTable.ts
@@ -21,15 +21,15 @@
     bornAtMs: number | undefined;
     entry: WorkerEntry;
     /** Largest capacity it was ever listed with; a worker that has shrunk may grow back to it. */
-    mostCapacity: Resources;
+    maxCapacity: Resources;
     /** Local time since which the platform's list lacks it; undefined while it is listed. */
     unlistedAtMs: number | undefined;
     /** True once it has answered a look sent under this owner's token, so that all its runs are known. */
-    certain: boolean;
+    runsKnown: boolean;
     /** Local time of its newest answer and its own clock at that moment; converts local times to lease deadlines. */
     clock: { readonly localMs: number; readonly clockMs: number; } | undefined;
     /** Local time by which every lease that it may have been granted has surely ended. */
-    horizonMs: number;
+    leaseHorizonMs: number;
     /** Local time of the newest answer to a look. */
     answeredAtMs: number;
     /** Consecutive looks without an answer. */
@@ -65,7 +65,7 @@
     readonly failedJobs: Set<string>;
     failuresInARow: number;
     /** Latest local time at which the start of a run that completed was sent. */
-    soundSinceMs: number;
+    lastSoundSentAtMs: number;
     /** Local time of the first of the consecutive failures; meaningless while there are none. */
     failureStreakBeganAtMs: number;
     /**
@@ -98,15 +98,15 @@
  * @example
  * const worker = newWorker(entry, clock.monotonicMs() + 7_000);
  */
-export const newWorker = (entry: WorkerEntry, horizonMs: number): ShardWorker => ({
+export const newWorker = (entry: WorkerEntry, leaseHorizonMs: number): ShardWorker => ({
     workerId: entry.workerId,
     bornAtMs: undefined,
     entry,
-    mostCapacity: entry.capacity,
+    maxCapacity: entry.capacity,
     unlistedAtMs: undefined,
-    certain: false,
+    runsKnown: false,
     clock: undefined,
-    horizonMs,
+    leaseHorizonMs,
     answeredAtMs: 0,
     silentLooks: 0,
     silentSinceMs: undefined,
@@ -120,7 +120,7 @@
     absentRuns: 0,
     failedJobs: new Set(),
     failuresInARow: 0,
-    soundSinceMs: -Infinity,
+    lastSoundSentAtMs: -Infinity,
     failureStreakBeganAtMs: -Infinity,
     restBeganAtMs: -Infinity,
     restsUntilMs: 0,
@@ -147,7 +147,7 @@
     const { localMs, clockMs } = worker.clock;
     const deadlineMs = Math.floor(clockMs + (nowMs - localMs) + leaseMs);
     const latestEndMs = localMs + (deadlineMs - clockMs) / slowestClockRate;
-    worker.horizonMs = Math.max(worker.horizonMs, latestEndMs);
+    worker.leaseHorizonMs = Math.max(worker.leaseHorizonMs, latestEndMs);
     return deadlineMs;
 };
 
@@ -176,7 +176,7 @@
  */
 export const updateEntry = (worker: ShardWorker, entry: WorkerEntry): void => {
     worker.entry = entry;
-    worker.mostCapacity = largest(worker.mostCapacity, entry.capacity);
+    worker.maxCapacity = largest(worker.maxCapacity, entry.capacity);
 };
 
 /** A resource of which the run takes nothing may be overcommitted. */
@@ -310,7 +310,7 @@
  * isOpen(worker, clock.monotonicMs());
  */
 export const isOpen = (worker: ShardWorker, nowMs: number, restLeadMs = 0): boolean =>
-    isListed(worker, nowMs) && worker.certain
+    isListed(worker, nowMs) && worker.runsKnown
     && !worker.entry.draining && !worker.cordoned && worker.clock !== undefined
     && worker.silentLooks < silentLooksToAvoid && worker.avoidUntilMs <= nowMs
     && worker.restsUntilMs <= nowMs + restLeadMs && allowsStart(worker);
--- a/packages/puffinarch/src/core/shard/workerWatch.ts
+++ b/packages/puffinarch/src/core/shard/workerWatch.ts
@@ -2,12 +2,12 @@
 
 import { type EndedRun, type LookResult, type RunningRun } from "../../types/cellPorts.js";
 import type { Clock, Log, Meter } from "../../types/ports.js";
-import { endPatience } from "./blockedSteps.js";
+import { markBlockedLong } from "./blockedSteps.js";
 import type { CorrelatedCrashes } from "./correlatedCrashes.js";
-import { countCrash, countPossibleCrash, type CrashedRun, crashedRuns, showSound } from "./crashes.js";
+import { clearCrashesIfSound, countCrash, countPossibleCrash, type CrashedRun, crashedRuns } from "./crashes.js";
 import { incarnationOf, isOtherIncarnation } from "./incarnations.js";
 import {
-    applyEnd,
+    applyRunEnd,
     findTask,
     hasEnded,
     newRun,
@@ -29,7 +29,7 @@
     /** Called when a job has changed and has to be made durable. */
     readonly onChange: (job: ShardJob) => void;
     /** Counts the workers that fell silent at a moment without having just started a task of the job. */
-    readonly othersAt: CorrelatedCrashes["othersAt"];
+    readonly countOthersAt: CorrelatedCrashes["countOthersAt"];
     readonly stop: (worker: ShardWorker, run: ShardRun) => void;
     /** Called for a run that makes no progress and has to run elsewhere. */
     readonly onStuck: (worker: ShardWorker, run: ShardRun) => void;
@@ -39,7 +39,7 @@
 /** Applies looks to the jobs in memory. */
 export interface WorkerWatch {
     /** Applies one look; returns the highest end number applied so far. */
-    take(worker: ShardWorker, look: LookResult & { readonly outcome: "done"; }, sentAtMs: number): number;
+    applyLook(worker: ShardWorker, look: LookResult & { readonly outcome: "done"; }, sentAtMs: number): number;
     /**
      * Drops runs whose worker's incarnation, or whose leases, are over: all runs of the worker, or those given. Returns those
      * that may have crashed the worker.
@@ -93,7 +93,7 @@
         { jobId, how, sentAtMs }: { readonly jobId: string; readonly how: EndedRun["how"]; readonly sentAtMs: number; },
     ): void => {
         if (how === "done") {
-            worker.soundSinceMs = Math.max(worker.soundSinceMs, sentAtMs);
+            worker.lastSoundSentAtMs = Math.max(worker.lastSoundSentAtMs, sentAtMs);
         }
         // A run that was sent before the failures began does not show that the worker has recovered.
         if (how === "done" && (worker.failuresInARow === 0 || sentAtMs >= worker.failureStreakBeganAtMs)) {
@@ -167,7 +167,7 @@
         // it completed the task.
         if (run !== undefined || end.how === "done") {
             meter.count(`ends.${end.how}`);
-            applyEnd(task, end.run, end.how, end.checkpoint, clock.monotonicMs());
+            applyRunEnd(task, end.run, end.how, end.checkpoint, clock.monotonicMs());
         }
         if (task.done) {
             stopOthers(task);
@@ -181,8 +181,8 @@
             address: worker.entry.address,
             bornAtMs: worker.bornAtMs,
             phase: runPhases.running,
-            settledAtMs: nowMs,
-            shown: true,
+            absenceProvenAfterMs: nowMs,
+            wasListed: true,
             startedAtMs: nowMs,
             percent: row.percent,
             figure: row.figure,
@@ -229,7 +229,7 @@
             adopt(worker, task, row);
             return;
         }
-        run.shown = true;
+        run.wasListed = true;
         setAbsent(worker, run, false);
         run.mayHaveCrashed = false;
         run.mayArriveUntilMs = undefined;
@@ -240,7 +240,7 @@
         run.startedAtMs ??= clock.monotonicMs();
         if (run.phase === runPhases.starting || run.phase === runPhases.planned) {
             run.phase = runPhases.running;
-            run.settledAtMs = clock.monotonicMs();
+            run.absenceProvenAfterMs = clock.monotonicMs();
             // The start was carried out and only its answer was late or lost, as from a slow worker.
             noteStartAnswered(worker);
         }
@@ -253,7 +253,7 @@
             job.started = true;
             onChange(job);
         }
-        if (showSound(run, clock.monotonicMs())) {
+        if (clearCrashesIfSound(run, clock.monotonicMs())) {
             log.write("info", "taskSound", { task: run.task.name, run: run.run, ...incarnationOf(worker) });
             onChange(job);
         }
@@ -269,7 +269,7 @@
         for (const crashed of runs) {
             const { task } = crashed;
             const { job } = task.step.occurrence;
-            const others = options.othersAt(crashed.goneAtMs, job);
+            const others = options.countOthersAt(crashed.goneAtMs, job);
             if (!countCrash(crashed, { others, nowMs: clock.monotonicMs() })) {
                 continue;
             }
@@ -309,9 +309,9 @@
     };
 
     return {
-        take: (worker, look, sentAtMs) => {
+        applyLook: (worker, look, sentAtMs) => {
             workersById.set(worker.workerId, worker);
-            if (!worker.certain) {
+            if (!worker.runsKnown) {
                 recordFormerSuspects(worker);
             }
             let newest = worker.acknowledgedEnd;
@@ -332,7 +332,7 @@
                 applyRunningRun(worker, row);
             }
             countCrashes(worker.workerId, missingRuns.review(worker, listed, sentAtMs));
-            worker.certain = true;
+            worker.runsKnown = true;
             return newest;
         },
         countCrashes,
@@ -357,7 +357,7 @@
                 });
                 dropRun(worker, run);
                 if (run.absent) {
-                    endPatience(run.task.step, nowMs);
+                    markBlockedLong(run.task.step, nowMs);
                 }
                 if (run.absent || run.mayHaveCrashed) {
                     notePossibleCrash(worker, run);
--- a/packages/puffinarch/src/puffinarch.ts
+++ b/packages/puffinarch/src/puffinarch.ts
@@ -74,16 +74,26 @@
 export { readReport, type WorkerReportOptions } from "./internal.js";
 
 // A shard: jobs made of steps, on workers that check fencing tokens; one daemon of a cell owns the shard at a time.
-export { type AdviceBreadth, createAdviceBreadth } from "./internal.js";
-export { type AdviceDesk, type AdviceDeskOptions, type AdviceOrder, createAdviceDesk } from "./internal.js";
-export { type AdviceAsker, type AdviceWish, type AskAdviceOptions, createAdviceAsker } from "./internal.js";
-export { isTimeToAsk } from "./internal.js";
+export { type AdviceCallSizer, createAdviceCallSizer } from "./internal.js";
+export {
+    type AdviceCall,
+    type AdviceDispatcher,
+    type AdviceDispatcherOptions,
+    createAdviceDispatcher,
+} from "./internal.js";
+export {
+    type AdviceRequester,
+    type AdviceRequesterOptions,
+    createAdviceRequester,
+    type TicketRequest,
+} from "./internal.js";
+export { shouldRequestAhead } from "./internal.js";
 export { type CapView, type CapWaits, createCapView } from "./internal.js";
 export { type CallerKeys, createCallerKeys, digestKey } from "./internal.js";
 export { type CellMember, type CellMemberOptions, memberTable, startCellMember } from "./internal.js";
-export { type AvoidanceLimits, avoidedBy, avoidedByAll, awaitedBy, failedLately } from "./internal.js";
+export { type AvoidanceLimits, avoidedBy, avoidedByAll, awaitedBy, failedRecently } from "./internal.js";
 export { type ChoiceLimits, type Chooser, createChooser, type Packing, packings } from "./internal.js";
-export { allowsAnother, countRuns, placesIn, placesNeeded, ticketFor } from "./internal.js";
+export { allowsAnotherRun, countRuns, countTasksThatFit, minTasksToStart, ticketFor } from "./internal.js";
 export { type ClaimedShard, type ClaimOptions, claimShard } from "./internal.js";
 export { readAllRows, type ReadRows, type ReadRowsOptions } from "./internal.js";
 export { type AcceptanceOptions, createAcceptance } from "./internal.js";
@@ -99,15 +109,15 @@
     usesHalfOfCap,
 } from "./internal.js";
 export {
-    awaitsVerdict,
+    awaitsCrashConfirmation,
+    clearCrashesIfSound,
     countCrash,
     countPossibleCrash,
     type CrashedRun,
     crashedRuns,
-    isNearEnd,
+    isNearCrashLimit,
     needsTrial,
-    noteConfirmed,
-    showSound,
+    recordConfirmedRuns,
 } from "./internal.js";
 export { type CorrelatedCrashes, createCorrelatedCrashes } from "./internal.js";
 export { createDelayedStarts, type DelayedStart, type DelayedStarts } from "./internal.js";
@@ -121,23 +131,31 @@
 } from "./internal.js";
 export { incarnationKey, incarnationOf, isOtherIncarnation, type WorkerIncarnation } from "./internal.js";
 export { createLostRuns, type LostRuns } from "./internal.js";
-export { allowsTrial, companyOf, fellAtStart, holdForTrial, isKeptFrom, isSuspect, startable } from "./internal.js";
+export {
+    allowsTrial,
+    crashExposureOf,
+    fellSilentAtStart,
+    holdForTrial,
+    isBlockedByTrial,
+    isSuspect,
+    startableTasks,
+} from "./internal.js";
 export { type Batch, type BatchWriter, type BatchWriterOptions, createBatchWriter } from "./internal.js";
 export { type CommitLog, type CommitLogOptions, createCommitLog, type RowChange } from "./internal.js";
-export { type CommitWitness, type CommitWitnessOptions, createCommitWitness } from "./internal.js";
+export { type CommitMonitor, type CommitMonitorOptions, createCommitMonitor } from "./internal.js";
 export { type ConfigurationFetch, type ConfigurationFetchOptions, createConfigurationFetch } from "./internal.js";
 export {
-    applyEnd,
+    applyRunEnd,
     cancelJob,
     failJob,
     hasEnded,
-    heldBy,
     isReady,
     isWaiting,
-    letGo,
     newJob,
     newRun,
     openOccurrence,
+    pruneDoneOccurrences,
+    reservedResources,
     type RunPhase,
     runPhases,
     type ShardJob,
@@ -149,22 +167,22 @@
 } from "./internal.js";
 export { decodeEnded, encodeJob, type EndedJob, type RestoredJobs, restoreJobs } from "./internal.js";
 export { createFirstLooks, type FirstLooks } from "./internal.js";
-export { createForward, type Forward, type ForwardOptions, type ForwardRequest } from "./internal.js";
+export { createForwarder, type Forwarder, type ForwarderOptions, type ForwardRequest } from "./internal.js";
 export { createPacer, type Pacer } from "./internal.js";
-export { createPlacing, type Placing, type PlacingOptions } from "./internal.js";
-export { chooseVictims, givesWay } from "./internal.js";
-export { type PlanOptions, planRoom } from "./internal.js";
-export { createRoomView, isPreemptible, type Reservation, type RoomView } from "./internal.js";
-export { hasWaitedLong, ignoresRests, isBlocked } from "./internal.js";
+export { createTaskPlacer, type TaskPlacer, type TaskPlacerOptions } from "./internal.js";
+export { chooseVictims, isPreemptibleBy } from "./internal.js";
+export { type PlanOptions, planReservations } from "./internal.js";
+export { type CapacityView, createCapacityView, isPreemptible, type Reservation } from "./internal.js";
+export { isBlocked, isBlockedLong, mayUseRestingWorkers } from "./internal.js";
 export {
-    inTurn,
+    inSchedulingOrder,
     type RankedStep,
     rankStep,
+    type SchedulingOrder,
+    type SchedulingOrderOptions,
+    schedulingOrders,
     type Standing,
     standings,
-    type TurnOptions,
-    type TurnOrder,
-    turnOrders,
 } from "./internal.js";
 export { type ShardOwner, type ShardOwnerOptions, startShardOwner } from "./internal.js";
 export { createShardWorkers, type ShardWorkers, type ShardWorkersOptions } from "./internal.js";
@@ -178,18 +196,18 @@
 export { endedTable, journalTable, ownerKey, ownerTable, sequenceKey, upkeepTable } from "./internal.js";
 export { createTaskReview, type TaskReview, type TaskReviewOptions } from "./internal.js";
 export {
-    countStands,
-    isDue,
-    type StandCounts,
+    type AvailabilityCounts,
+    awaitsStart,
+    countAvailabilities,
     type TaskWait,
     taskWaitOf,
     taskWaits,
     waitBoundsMs,
-    type WorkersNow,
-    type WorkerStand,
-    workerStands,
+    workerAvailabilities,
+    type WorkerAvailability,
+    type WorkerSnapshot,
 } from "./internal.js";
-export { type ClaimReason, claimReasons, countShortOffices, patienceFactor, settlingMs } from "./internal.js";
+export { type ClaimReason, claimReasons, countShortTenures, settlingMs, timeoutFactor } from "./internal.js";
 export { type TableWatch, type TableWatchOptions, watchTable } from "./internal.js";
 export { handOver, type HandOverOptions } from "./internal.js";
 export { createOwnerProgress, type OwnerProgress, type OwnerProgressOptions } from "./internal.js";
@@ -198,7 +216,7 @@
 export { createPeers, type Peers, type PeersOptions, type PingOptions } from "./internal.js";
 export { endedSchema, stateSchema, submissionSchema } from "./internal.js";
 export { decodeMember, decodeOwner, unreadableOwner } from "./internal.js";
-export { type ClaimCandidate, claimOrder, followerPauseMs, newsOrder, placeDelayMs } from "./internal.js";
+export { type ClaimCandidate, claimOrder, delayForRankMs, followerPauseMs, neighbourOrder } from "./internal.js";
 export { createRowReader, type RowReader } from "./internal.js";
 export { mayGoDown, runsToMove } from "./internal.js";
 export { startUpkeep, type Upkeep, type UpkeepOptions } from "./internal.js";
@@ -252,8 +270,8 @@
     type RunEnd,
     runEnds,
     type RunningRun,
-    type RunOrder,
-    type RunStop,
+    type StartRunOrder,
+    type StopRunOrder,
     type WorkerTarget,
 } from "./internal.js";
 export {
@@ -404,17 +422,17 @@
 export { type Decoded, decodeRow, decodeText, mapDecoded, noEntry } from "./internal.js";
 export {
     die,
-    type ErrorAnswer,
-    errorAnswers,
     type ErrorKind,
     errorOf,
+    type ErrorResponse,
+    errorResponses,
     type Failure,
     type FailureDetail,
     failureOf,
     kindOf,
     type Violation,
 } from "./internal.js";
-export { hash, pick } from "./internal.js";
+export { hash, pickMember } from "./internal.js";
 export { createRing, type Ring } from "./internal.js";
 export { createSeededRandom, createSystemClock, createSystemRandom } from "./internal.js";
 export { type Loop, type LoopOptions, sleep, startLoop } from "./internal.js";
--- a/packages/puffinarch/src/types/cellPorts.ts
+++ b/packages/puffinarch/src/types/cellPorts.ts
@@ -47,7 +47,7 @@
 export interface RowPage {
     readonly rows: readonly Row[];
     /** True where the part has further rows after these. */
-    readonly more: boolean;
+    readonly hasMore: boolean;
     /** Newest version of the store at the time of the snapshot. */
     readonly version: number;
 }
@@ -72,7 +72,7 @@
 }
 
 /** Order to a worker to start a run, which is one attempt at a task. */
-export interface RunOrder {
+export interface StartRunOrder {
     readonly taskName: string;
     /** Number of the attempt; it increases with each attempt at the task. */
     readonly run: number;
@@ -182,7 +182,7 @@
     /** How long the worker may delay its answer until a run ends. */
     readonly waitMs: number;
     /** Time beyond `waitMs` after which the look counts as unanswered. */
-    readonly patienceMs: number;
+    readonly answerTimeoutMs: number;
 }
 
 /** A worker's id and address. Any incarnation of the worker that uses this id accepts the order. */
@@ -192,7 +192,7 @@
 }
 
 /** Order to stop one run, or the run that a `pace` order applies to. */
-export interface RunStop {
+export interface StopRunOrder {
     readonly taskName: string;
     readonly run: number;
     readonly fencingToken: number;
@@ -201,12 +201,12 @@
 /** Orders to workers. No call rejects: a call without an answer resolves with the outcome `unknown`. */
 export interface FencedWorkerPort {
     /** The outcome is `unknown` where no answer arrives within `timeoutMs`. */
-    start(target: WorkerTarget, order: RunOrder, timeoutMs: number): Promise<OrderOutcome>;
+    start(target: WorkerTarget, order: StartRunOrder, timeoutMs: number): Promise<OrderOutcome>;
     /** The outcome is `unknown` where no answer arrives within `timeoutMs`. */
-    stop(target: WorkerTarget, order: RunStop, timeoutMs: number): Promise<OrderOutcome>;
+    stop(target: WorkerTarget, order: StopRunOrder, timeoutMs: number): Promise<OrderOutcome>;
     look(target: WorkerTarget, order: LookOrder): Promise<LookResult>;
     /** Limits the share of time for which a run may use its processors, in percent from 0 to 100. */
-    pace(target: WorkerTarget, order: RunStop & { readonly percent: number; }): Promise<OrderOutcome>;
+    pace(target: WorkerTarget, order: StopRunOrder & { readonly percent: number; }): Promise<OrderOutcome>;
 }
 
 /** Asks the advisor which of these workers may run a step. */
--- a/packages/puffinarch/src/utils/errors.ts
+++ b/packages/puffinarch/src/utils/errors.ts
@@ -15,7 +15,7 @@
 }
 
 /** How an error kind is presented to callers. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
     readonly httpStatus: number;
     /** Status code name of the Connect protocol. */
     readonly code: string;
@@ -28,7 +28,7 @@
 }
 
 /** All error kinds and how they are presented. */
-export const errorAnswers = {
+export const errorResponses = {
     invalid: {
         httpStatus: 400,
         code: "invalid_argument",
@@ -120,10 +120,10 @@
         resendSafe: false,
         meaning: "internal error",
     },
-} as const satisfies Readonly<Record<string, ErrorAnswer>>;
+} as const satisfies Readonly<Record<string, ErrorResponse>>;
 
 /** Name of an error kind. */
-export type ErrorKind = keyof typeof errorAnswers;
+export type ErrorKind = keyof typeof errorResponses;
 
 /** Optional data of an error besides its message. */
 export interface FailureDetail {
@@ -171,7 +171,7 @@
 export const errorOf = (failure: Failure): Error =>
     new VError({ name: errorName, info: { failure } }, "%s", failure.message);
 
-const isKind = (kind: unknown): kind is ErrorKind => typeof kind === "string" && kind in errorAnswers;
+const isKind = (kind: unknown): kind is ErrorKind => typeof kind === "string" && kind in errorResponses;
 
 /**
  * Converts an error to plain data; errors that neither `die` nor `errorOf` created become the kind `internal`.
--- a/packages/puffinarch/src/utils/rendezvous.ts
+++ b/packages/puffinarch/src/utils/rendezvous.ts
@@ -25,7 +25,7 @@
  * @example
  * pick("home-1", ["a"]); // "a"
  */
-export const pick = (key: string, members: readonly string[]): string | undefined => {
+export const pickMember = (key: string, members: readonly string[]): string | undefined => {
     let best: string | undefined;
     let bestScore = -1;
     for (const member of members) {
--- a/packages/puffinarchd/src/adapters/members.ts
+++ b/packages/puffinarchd/src/adapters/members.ts
@@ -8,7 +8,7 @@
 import type { FastifyInstance } from "fastify";
 import {
     die,
-    errorAnswers,
+    errorResponses,
     type Failure,
     failureOf,
     type MemberCallName,
@@ -82,7 +82,7 @@
             }
             catch (error) {
                 const failure = failureOf(causeOf(error));
-                return reply.code(errorAnswers[failure.kind].httpStatus).send(failure);
+                return reply.code(errorResponses[failure.kind].httpStatus).send(failure);
             }
         });
     }
--- a/packages/puffinarchd/src/main.ts
+++ b/packages/puffinarchd/src/main.ts
@@ -2,7 +2,7 @@
 /** The command that starts a daemon: `puffinarchd --config FILE`. */
 
 import { Command } from "commander";
-import { createSystemClock, createSystemRandom, errorAnswers, failureOf } from "puffinarch";
+import { createSystemClock, createSystemRandom, errorResponses, failureOf } from "puffinarch";
 import { startDaemon } from "./daemon.js";
 import { createLog } from "./logging.js";
 import { openLogOutput, standardOutput } from "./logOutput.js";
@@ -28,7 +28,7 @@
         stopping = true;
         log.write("info", "stopping", { signal });
         const exit = (code: number): void => void output.flush().then(() => process.exit(code));
-        daemon.stop().then(() => exit(0), () => exit(errorAnswers.internal.exitCode));
+        daemon.stop().then(() => exit(0), () => exit(errorResponses.internal.exitCode));
     };
     process.on("SIGTERM", () => stop("SIGTERM"));
     process.on("SIGINT", () => stop("SIGINT"));
@@ -50,5 +50,5 @@
         const place = violation.line === undefined ? "" : `line ${violation.line}, `;
         process.stderr.write(`  ${place}${violation.field}: ${violation.value}; allowed: ${violation.allowed}\n`);
     }
-    process.exit(errorAnswers[failure.kind].exitCode);
+    process.exit(errorResponses[failure.kind].exitCode);
 });
--- a/packages/puffinarchd/src/proxy.ts
+++ b/packages/puffinarchd/src/proxy.ts
@@ -7,8 +7,8 @@
 import {
     type Clock,
     die,
-    errorAnswers,
     type ErrorKind,
+    errorResponses,
     type Failure,
     failureOf,
     type Meter,
@@ -320,7 +320,7 @@
 
     const sendFailure = (reply: FastifyReply, failure: Failure): FastifyReply => {
         meter.count(`requests.${failure.kind}`);
-        return reply.code(errorAnswers[failure.kind].httpStatus)
+        return reply.code(errorResponses[failure.kind].httpStatus)
             .header(requestHeaders.answer, failure.kind)
             .header(requestHeaders.retryAfterMs, String(failure.retryAfterMs ?? 0))
             .send(failure);
--- a/packages/puffinarchd/src/rpc/failures.ts
+++ b/packages/puffinarchd/src/rpc/failures.ts
@@ -2,7 +2,7 @@
 
 import { Code, ConnectError, type Interceptor } from "@connectrpc/connect";
 import { FailureSchema } from "@puffinarch/schema";
-import { errorAnswers, failureOf } from "puffinarch";
+import { errorResponses, failureOf } from "puffinarch";
 
 const codesByName: ReadonlyMap<string, Code> = new Map(
     Object.entries(Code)
@@ -33,7 +33,7 @@
         winningVersion: failure.winningVersion ?? 0,
         difference: failure.difference ?? "",
     };
-    const code = codesByName.get(errorAnswers[failure.kind].code) ?? Code.Internal;
+    const code = codesByName.get(errorResponses[failure.kind].code) ?? Code.Internal;
     return new ConnectError(failure.message, code, undefined, [{ desc: FailureSchema, value }]);
 };
 
--- a/packages/stand-ins/src/shard/fencedWorkers.ts
+++ b/packages/stand-ins/src/shard/fencedWorkers.ts
@@ -18,8 +18,8 @@
     type Resources,
     type RunEnd,
     runEnds,
-    type RunOrder,
-    type RunStop,
+    type StartRunOrder,
+    type StopRunOrder,
     type WorkerEntry,
     type WorkerTarget,
 } from "puffinarch";
@@ -286,7 +286,7 @@
     const mayCountOnFormer = ({ former }: FakeWorker, held: Resources): boolean =>
         former.some(({ capacity, untilMs }) => clock.monotonicMs() <= untilMs && fits(held, capacity));
 
-    const start = (worker: FakeWorker, order: RunOrder): OrderOutcome => {
+    const start = (worker: FakeWorker, order: StartRunOrder): OrderOutcome => {
         if (!raise(worker, order.fencingToken)) {
             return orderOutcomes.fenced;
         }
@@ -349,7 +349,7 @@
         return orderOutcomes.done;
     };
 
-    const stop = (worker: FakeWorker, { taskName, run, fencingToken }: RunStop): OrderOutcome => {
+    const stop = (worker: FakeWorker, { taskName, run, fencingToken }: StopRunOrder): OrderOutcome => {
         if (!raise(worker, fencingToken)) {
             return orderOutcomes.fenced;
         }
@@ -454,9 +454,9 @@
         };
         const look = async (
             target: WorkerTarget,
-            { fencingToken, acknowledgedEnd, deadlineMs, waitMs, patienceMs }: LookOrder,
+            { fencingToken, acknowledgedEnd, deadlineMs, waitMs, answerTimeoutMs }: LookOrder,
         ): Promise<LookResult> => {
-            const lostMs = Math.min(unansweredMs, waitMs + patienceMs);
+            const lostMs = Math.min(unansweredMs, waitMs + answerTimeoutMs);
             const worker = await reach(target, lostMs);
             if (worker === undefined || worker === "down") {
                 return { outcome: orderOutcomes.unknown, connectionLost: worker === "down" };
--- a/packages/stand-ins/src/shard/processor.ts
+++ b/packages/stand-ins/src/shard/processor.ts
@@ -65,7 +65,7 @@
             }
             await processor.use(seen.has(target.workerId) ? costs.lookMs : costs.firstLookMs);
             seen.add(target.workerId);
-            const late = clock.monotonicMs() - sentAtMs > order.waitMs + order.patienceMs;
+            const late = clock.monotonicMs() - sentAtMs > order.waitMs + order.answerTimeoutMs;
             return late ? { outcome: "unknown" } : answer;
         },
     };
--- a/packages/stand-ins/src/shard/rowStore.ts
+++ b/packages/stand-ins/src/shard/rowStore.ts
@@ -196,7 +196,7 @@
                 const page = all.slice(0, Math.min(limit, pageRows));
                 const readVersion = version;
                 await carry(memberId, page, longestMs);
-                return { rows: page, more: all.length > page.length, version: readVersion };
+                return { rows: page, hasMore: all.length > page.length, version: readVersion };
             },
             changes: async (table, after, waitMs): Promise<RowChanges> => {
                 await reachable(memberId);
--- a/packages/stand-ins/src/shard/shardCell.ts
+++ b/packages/stand-ins/src/shard/shardCell.ts
@@ -12,7 +12,6 @@
     decodeRow,
     defaultShardSettings,
     die,
-    heldBy,
     jobStates,
     type JobSubmission,
     journalTable,
@@ -25,6 +24,7 @@
     type Organisation,
     parseTaskName,
     type Queue,
+    reservedResources,
     type Resources,
     type Row,
     scale,
@@ -343,7 +343,7 @@
             : durationMs * (0.5 + random.next());
     const heldOf = (taskName: string): Resources => {
         const step = stepOf(taskName);
-        return step === undefined ? noResources : heldBy(step);
+        return step === undefined ? noResources : reservedResources(step);
     };
     const crashesWorker = (taskName: string): boolean => {
         const image = stepOf(taskName)?.image;
@@ -675,7 +675,8 @@
         const used = workers.evidence.filter(({ taskName, endedAtMs }) =>
             endedAtMs === undefined && organisationOf.get(parseTaskName(taskName)?.jobId ?? "") === organisation
         ).reduce((sum, { taskName }) => add(sum, heldOf(taskName)), noResources);
-        const atOnce = (step: Step): Resources => step.gang ? scale(heldBy(step), step.count) : heldBy(step);
+        const atOnce = (step: Step): Resources =>
+            step.gang ? scale(reservedResources(step), step.count) : reservedResources(step);
         const fitsCap = (steps.get(jobId) ?? []).every(step => amountAboveCap(cap, atOnce(step)) === undefined);
         return organisation === "" || fitsCap && isUnderHalf(used, cap);
     };
--- a/packages/stand-ins/src/shard/standing.ts
+++ b/packages/stand-ins/src/shard/standing.ts
@@ -6,8 +6,8 @@
 import {
     fits,
     formatTaskName,
-    heldBy,
     parseTaskName,
+    reservedResources,
     type Resources,
     runEnds,
     type Step,
@@ -56,7 +56,7 @@
 
 /** How many tasks of a step fit on a worker beside what is there; no more are asked after than `most`. */
 const countFitting = (step: Step, room: Resources, runsHere: number, most: number): number => {
-    const need = heldBy(step);
+    const need = reservedResources(step);
     const allowed = step.maxPerWorker === 0 ? most : Math.min(most, step.maxPerWorker - runsHere);
     let left = room;
     let count = 0;
