--- a/benchmarks/src/storm.ts
+++ b/benchmarks/src/storm.ts
@@ -3,7 +3,7 @@
  * which accepted task was not answered, from the workers' evidence. The cell runs on a fake clock.
  */
 
-import { type Cell, createCell, defaultCellOptions, platformPlace, tasksRunTwice } from "@puffinarch/stand-ins";
+import { type Cell, createCell, defaultCellOptions, platformEndpoint, tasksRunTwice } from "@puffinarch/stand-ins";
 import { isFinal } from "puffinarch";
 import type { Benchmark, Row } from "./benchmark.js";
 
@@ -22,7 +22,7 @@
         cell.restart(victim);
     },
     paused: cell => cell.pause(victim),
-    "cut off from the platform": cell => cell.cut(victim, platformPlace),
+    "cut off from the platform": cell => cell.cut(victim, platformEndpoint),
     "cut off from its peers": cell => {
         for (const { vmId } of cell.daemons()) {
             if (vmId !== victim) {
@@ -32,7 +32,7 @@
     },
     "cut off from everything": cell => {
         const others = [
-            platformPlace,
+            platformEndpoint,
             ...cell.daemons().map(({ vmId }) => vmId),
             ...cell.workers().map(({ workerId }) => workerId),
         ];
@@ -43,7 +43,9 @@
 };
 
 const submit = (cell: Cell, count: number, accepted: Set<string>): void => {
-    const open = cell.daemons().filter(daemon => !daemon.gate.dead() && !daemon.gate.paused() && daemon.node.ready());
+    const open = cell.daemons().filter(daemon =>
+        !daemon.process.dead() && !daemon.process.paused() && daemon.node.ready()
+    );
     const jobId = `job-${count}`;
     const call = open[count % Math.max(1, open.length)]?.node.jobs.submit({
         jobId,
@@ -58,7 +60,7 @@
 };
 
 const unanswered = async (cell: Cell, accepted: ReadonlySet<string>): Promise<number> => {
-    const answering = cell.daemons().filter(daemon => !daemon.gate.dead() && daemon.node.ready());
+    const answering = cell.daemons().filter(daemon => !daemon.process.dead() && daemon.node.ready());
     const views = Promise.all(
         answering.map(daemon => daemon.node.handlers.jobs({ team: "", afterJobId: "", limit: 100_000 })),
     );
@@ -107,7 +109,7 @@
         tasksRunTwice: tasksRunTwice(executions, onceOnly).length,
         overcommits: cell.overcommits(),
         tasksUnanswered: await unanswered(cell, accepted),
-        sessionsFenced: cell.total("sessionsFenced"),
+        sessionsFenced: cell.counterTotal("sessionsFenced"),
     };
 };
 
--- a/benchmarks/src/takeover.ts
+++ b/benchmarks/src/takeover.ts
@@ -54,7 +54,7 @@
     const endedAtMs = cell.clock.monotonicMs();
     const allPlace = async (): Promise<boolean> => {
         const owners = cell.daemons().filter(daemon =>
-            !daemon.gate.dead() && !daemon.gate.paused() && daemon.node.ready()
+            !daemon.process.dead() && !daemon.process.paused() && daemon.node.ready()
         );
         const views = (await Promise.all(owners.map(daemon => daemon.node.handlers.workers({ dataCentre: "" }))))
             .flat();
@@ -77,7 +77,7 @@
         tasksLost: tasks - completed.size,
         tasksRunTwice: tasksRunTwice(executions, new Set()).length,
         tasksRunAgain: executions.length - tasks,
-        sessionsFenced: cell.total("sessionsFenced"),
+        sessionsFenced: cell.counterTotal("sessionsFenced"),
     };
 };
 
--- a/features/steps/advisorLaneSteps.ts
+++ b/features/steps/advisorLaneSteps.ts
@@ -1,5 +1,5 @@
 import { Given, Then, When } from "@cucumber/cucumber";
-import { createFakeClock, type FakeClock, quietLog, quietMeter } from "@puffinarch/stand-ins";
+import { createFakeClock, type FakeClock, noopLog, noopMeter } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { type AdviceDispatcher, createAdviceDispatcher, errorOf, sleep } from "puffinarch";
 import { partOf, type ScenarioWorld } from "./support.js";
@@ -38,8 +38,8 @@
         const asked: string[] = [];
         const desk = createAdviceDispatcher({
             clock,
-            log: quietLog,
-            meter: quietMeter,
+            log: noopLog,
+            meter: noopMeter,
             lanes: () => laneIds,
             call: async (lane, { stepName, timeoutMs }) => {
                 asked.push(lane);
--- a/features/steps/cellPart.ts
+++ b/features/steps/cellPart.ts
@@ -65,7 +65,7 @@
 export const answering = (cell: Cell): CellDaemon => findAnswering(cell) ?? assert.fail("no daemon answers");
 
 const findAnswering = (cell: Cell): CellDaemon | undefined =>
-    cell.daemons().find(each => !each.gate.dead() && !each.gate.paused() && each.node.ready());
+    cell.daemons().find(each => !each.process.dead() && !each.process.paused() && each.node.ready());
 
 const callLimitMs = 10_000;
 
--- a/features/steps/configurationSteps.ts
+++ b/features/steps/configurationSteps.ts
@@ -1,5 +1,5 @@
 import { Given, Then, When } from "@cucumber/cucumber";
-import { platformPlace } from "@puffinarch/stand-ins";
+import { platformEndpoint } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { type Configuration, type ConfigurationDocument, initialDocument } from "puffinarch";
 import { cellPart, during } from "./cellPart.js";
@@ -57,7 +57,7 @@
 });
 
 When("a daemon is cut off from the platform", function(this: ScenarioWorld) {
-    cellPart(this).cell.cut(pausedVm, platformPlace);
+    cellPart(this).cell.cut(pausedVm, platformEndpoint);
 });
 
 Then(
--- a/features/steps/connectionSteps.ts
+++ b/features/steps/connectionSteps.ts
@@ -4,13 +4,13 @@
 import { createServer, type Server, type ServerResponse } from "node:http";
 import { type AddressInfo, connect, type Socket } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
-import { type CallResult, createHttpCaller, createMeter, type HttpCaller } from "puffinarchd";
+import { type CallResult, createHttpClient, createMeter, type HttpClient } from "puffinarchd";
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
     server: Server | undefined;
     child: ChildProcess | undefined;
-    http: HttpCaller | undefined;
+    http: HttpClient | undefined;
     readonly meter: ReturnType<typeof createMeter>;
     readonly silent: Set<Socket>;
     readonly open: Set<Socket>;
@@ -79,7 +79,7 @@
     });
     part(this).server = server;
     part(this).address = `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
-    part(this).http = createHttpCaller({ timeoutMs: answeredInTimeMs, connectionsPerHost: count, meter });
+    part(this).http = createHttpClient({ timeoutMs: answeredInTimeMs, connectionsPerHost: count, meter });
     await Promise.all(Array.from({ length: count }, () => call(this, "/slow", answeredInTimeMs)));
     assert.equal(open.size, count);
 });
@@ -105,7 +105,7 @@
     }
     part(this).child = child;
     part(this).address = `http://127.0.0.1:${port}`;
-    part(this).http = createHttpCaller({
+    part(this).http = createHttpClient({
         timeoutMs: answeredInTimeMs,
         connectTimeoutMs: answeredInTimeMs,
         connectionsPerHost: 1,
--- a/features/steps/daemonSteps.ts
+++ b/features/steps/daemonSteps.ts
@@ -5,7 +5,7 @@
     createWorker,
     defaultPlatformLimits,
     type Platform,
-    type Served,
+    type RunningServer,
     servePlatform,
     serveUpstream,
     serveWorkers,
@@ -75,7 +75,7 @@
     assert.fail(`${what} did not come`);
 };
 
-const upstreamVm = (upstream: UpstreamStandIn, { address }: Served): Vm => ({
+const upstreamVm = (upstream: UpstreamStandIn, { address }: RunningServer): Vm => ({
     vmId: upstream.upstreamId,
     role: "upstream",
     dataCentre,
--- a/features/steps/examples/shardFixtures.ts
+++ b/features/steps/examples/shardFixtures.ts
@@ -1,13 +1,13 @@
 /** What examples of the parts of a shard share: a job, a task, a run, a worker, an owner. */
 
-import { plainStep, quietLog, quietMeter, testQueue, workerEntry } from "@puffinarch/stand-ins";
+import { noopLog, noopMeter, plainStep, testQueue, workerEntry } from "@puffinarch/stand-ins";
 import { newJob, newRun, newWorker, type ShardJob, type ShardRun } from "puffinarch";
 
 /** The log of each example: none. */
-export const log = quietLog;
+export const log = noopLog;
 
 /** The meter of each example: none. */
-export const meter = quietMeter;
+export const meter = noopMeter;
 
 /** The part of the store that the shard of each example has. */
 export const part = "shard-0";
--- a/features/steps/examples/shardIncarnations.ts
+++ b/features/steps/examples/shardIncarnations.ts
@@ -1,6 +1,6 @@
 /** Examples of the incarnations of workers and what is told from their ends; each is an embedding of one module. */
 
-import { createFakeClock, quietLog, quietMeter } from "@puffinarch/stand-ins";
+import { createFakeClock, noopLog, noopMeter } from "@puffinarch/stand-ins";
 import {
     adoptRun,
     allowsStart,
@@ -65,8 +65,8 @@
     adoptRun(worker, { ...runOf(job), run: 2, mayArriveUntilMs: 6_500 });
     const missing = createMissingRuns({
         clock: createFakeClock(),
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         onChange: () => {},
         onFormerGone: () => {},
         onPossibleCrash: () => {},
@@ -113,8 +113,8 @@
     let looks = 0;
     const orders = createRunOrders({
         clock,
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         worker,
         workers: {
             start: async () => "unknown",
--- a/features/steps/failureSteps.ts
+++ b/features/steps/failureSteps.ts
@@ -1,5 +1,5 @@
 import { Given, Then, When } from "@cucumber/cucumber";
-import { type Cell, platformPlace } from "@puffinarch/stand-ins";
+import { type Cell, platformEndpoint } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { initialDocument } from "puffinarch";
 import { answering, cellPart, specOf, submit, tasksOf, untilEnded } from "./cellPart.js";
@@ -119,7 +119,7 @@
         cell.addDaemon("leon-feria-e9", "leon-feria");
     },
     "the new holder is paused": cell => cell.pause(newHolder),
-    "the new holder is cut off from the platform": cell => cell.cut(newHolder, platformPlace),
+    "the new holder is cut off from the platform": cell => cell.cut(newHolder, platformEndpoint),
     "another daemon is killed": cell => cell.kill(other, true),
     "another daemon is paused": cell => cell.pause(other),
     "two daemons of one data centre are killed": cell => {
@@ -159,8 +159,8 @@
     "the platform answers late": cell => setTable(cell, "late", 0.5),
     "the data centres are cut off from each other": cell =>
         cutDataCentre(cell, "leon-feria", () => farMachines(cell, "leon-feria")),
-    "a data centre is cut off from the platform": cell => cutDataCentre(cell, "leon-feria", () => [platformPlace]),
-    "the home daemon is cut off from the platform": cell => cell.cut(home, platformPlace),
+    "a data centre is cut off from the platform": cell => cutDataCentre(cell, "leon-feria", () => [platformEndpoint]),
+    "the home daemon is cut off from the platform": cell => cell.cut(home, platformEndpoint),
     "the home daemon is cut off from its peers": cell => othersOf(cell, home).forEach(vmId => cell.cut(home, vmId)),
     "a worker is lost": cell => cell.killWorker("leon-feria-w0"),
     "a worker is unreachable": cell => cell.worker("leon-feria-w0").setFaults({ unreachable: true }),
@@ -200,7 +200,7 @@
         worker.setFaults({ failsEverything: false, losesStartReply: false, unreachable: false });
     }
     for (const daemon of cell.daemons()) {
-        daemon.gate.resume();
+        daemon.process.resume();
     }
 };
 
--- a/features/steps/machineSteps.ts
+++ b/features/steps/machineSteps.ts
@@ -10,7 +10,7 @@
 } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import type { StartOrder, StartOutcome, WorkerPort } from "puffinarch";
-import { createHttpCaller, createHttpWorkers, createMeter } from "puffinarchd";
+import { createHttpClient, createHttpWorkers, createMeter } from "puffinarchd";
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface MachinePart {
@@ -70,7 +70,7 @@
         return;
     }
     const served = await serveWorkers([state.worker], 0);
-    const http = createHttpCaller({ timeoutMs: 5_000, connectionsPerHost: 4, meter: createMeter() });
+    const http = createHttpClient({ timeoutMs: 5_000, connectionsPerHost: 4, meter: createMeter() });
     this.closers.push(served.close, http.close);
     state.port = createHttpWorkers(http);
     state.address = `${served.address}/workers/w1`;
--- a/features/steps/placementSteps.ts
+++ b/features/steps/placementSteps.ts
@@ -155,8 +155,11 @@
     "the remedy {string} was applied at least {int} times",
     function(this: ScenarioWorld, remedy: string, times: number) {
         const { cell } = cellPart(this);
-        const applied = cell.total("remedies.throttle") + cell.total("remedies.stop");
-        assert.ok(remedy === "none" ? applied === 0 : cell.total(`remedies.${remedy}`) >= times, `${applied} remedies`);
+        const applied = cell.counterTotal("remedies.throttle") + cell.counterTotal("remedies.stop");
+        assert.ok(
+            remedy === "none" ? applied === 0 : cell.counterTotal(`remedies.${remedy}`) >= times,
+            `${applied} remedies`,
+        );
     },
 );
 
@@ -180,13 +183,13 @@
 When("all of them are cancelled at once", async function(this: ScenarioWorld) {
     const state = cellPart(this);
     const { node } = state.cell.daemon(home);
-    const before = state.cell.total("journalBatches");
+    const before = state.cell.counterTotal("journalBatches");
     const ending = await during(
         state.cell,
         Promise.all([...state.jobIds].filter(jobId => jobId !== "blocker").map(jobId => node.jobs.cancel(jobId))),
     );
     assert.equal(ending.failure, undefined);
-    this.parts.set("waveWrites", state.cell.total("journalBatches") - before);
+    this.parts.set("waveWrites", state.cell.counterTotal("journalBatches") - before);
 });
 
 Then("the wave took at most {int} writes", function(this: ScenarioWorld, most: number) {
@@ -235,7 +238,7 @@
 });
 
 Then("no session was fenced", function(this: ScenarioWorld) {
-    assert.equal(cellPart(this).cell.total("sessionsFenced"), 0);
+    assert.equal(cellPart(this).cell.counterTotal("sessionsFenced"), 0);
 });
 
 Then(
--- a/features/steps/platformSteps.ts
+++ b/features/steps/platformSteps.ts
@@ -11,7 +11,7 @@
 } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { createSeededRandom, type ObjectStore, type TableStore, type TransactResult, type VmList } from "puffinarch";
-import { createHttpCaller, createHttpObjects, createHttpTable, createHttpVmList, createMeter } from "puffinarchd";
+import { createHttpClient, createHttpObjects, createHttpTable, createHttpVmList, createMeter } from "puffinarchd";
 import { endingOf, partOf, type ScenarioWorld } from "./support.js";
 
 interface PlatformPart {
@@ -48,7 +48,7 @@
         return;
     }
     const served = await servePlatform(state.platform, 0);
-    const http = createHttpCaller({ timeoutMs: 5_000, connectionsPerHost: 4, meter: createMeter() });
+    const http = createHttpClient({ timeoutMs: 5_000, connectionsPerHost: 4, meter: createMeter() });
     this.closers.push(served.close, http.close);
     state.table = createHttpTable(http, served.address);
     state.objects = createHttpObjects(http, served.address);
--- a/features/steps/restSteps.ts
+++ b/features/steps/restSteps.ts
@@ -3,9 +3,9 @@
     createFakeClock,
     type FakeClock,
     jobIdOf,
+    noopLog,
+    noopMeter,
     plainStep,
-    quietLog,
-    quietMeter,
     readSteps,
     type ShardCell,
     testQueue,
@@ -171,8 +171,8 @@
         }));
         const workers = createShardWorkers({
             clock,
-            log: quietLog,
-            meter: quietMeter,
+            log: noopLog,
+            meter: noopMeter,
             settings: defaultShardSettings,
             port: {
                 start: async () => {
--- a/features/steps/shardLookSteps.ts
+++ b/features/steps/shardLookSteps.ts
@@ -1,7 +1,7 @@
 /** Steps about an owner's looks at its workers, each on a clock of its own. */
 
 import { Then, When } from "@cucumber/cucumber";
-import { createFakeClock, type FakeClock, quietLog, quietMeter, workerEntry } from "@puffinarch/stand-ins";
+import { createFakeClock, type FakeClock, noopLog, noopMeter, workerEntry } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import {
     createDelayedStarts,
@@ -23,8 +23,8 @@
     const clock = createFakeClock();
     const workers = createShardWorkers({
         clock,
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         settings: defaultShardSettings,
         port: {
             start: async () => "done",
@@ -59,8 +59,8 @@
 const openLinkTo = (worker: ShardWorker, clock: FakeClock, look: FencedWorkerPort["look"]): WorkerLink =>
     openWorkerLink(worker, {
         clock,
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         workers: {
             start: async () => "unknown",
             stop: async () => "unknown",
--- a/features/steps/shardModuleSteps.ts
+++ b/features/steps/shardModuleSteps.ts
@@ -5,8 +5,8 @@
     createFakeClock,
     createFakeRowStore,
     jobIdOf,
-    quietLog,
-    quietMeter,
+    noopLog,
+    noopMeter,
     readSteps,
     testQueue,
 } from "@puffinarch/stand-ins";
@@ -38,8 +38,8 @@
         const fenced: string[] = [];
         const commits = createCommitLog({
             clock,
-            log: quietLog,
-            meter: quietMeter,
+            log: noopLog,
+            meter: noopMeter,
             store: store.connect("entry-1"),
             part: "shard-0",
             ownerVersion: 0,
@@ -74,8 +74,8 @@
         const clock = createFakeClock();
         const desk = createAdviceDispatcher({
             clock,
-            log: quietLog,
-            meter: quietMeter,
+            log: noopLog,
+            meter: noopMeter,
             lanes: () => ["entry-1"],
             call: async () => {
                 await sleep(clock, callMs);
@@ -156,7 +156,7 @@
         let calls = 0;
         const peers = createPeers({
             clock,
-            log: quietLog,
+            log: noopLog,
             self,
             members: {
                 call: async (_address, _name, _input, timeoutMs) => {
@@ -168,7 +168,7 @@
                     return { incarnation: "1", leaving: false, ownedToken: 0 } as never;
                 },
             },
-            reader: createRowReader({ log: quietLog, meter: quietMeter }),
+            reader: createRowReader({ log: noopLog, meter: noopMeter }),
             ownerVersion: () => 0,
             onOwner: () => {},
         });
@@ -198,8 +198,8 @@
     let commitsBegun = 0;
     const submit = createAcceptance({
         clock,
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         settings: defaultShardSettings,
         jobs,
         queueOf: () => testQueue,
--- a/features/steps/shardUpkeepSteps.ts
+++ b/features/steps/shardUpkeepSteps.ts
@@ -1,7 +1,7 @@
 /** Steps about what operators ask of a shard: configurations, and waves of upkeep of VMs. */
 
 import { Then, When } from "@cucumber/cucumber";
-import { createFakeClock, quietLog, quietMeter } from "@puffinarch/stand-ins";
+import { createFakeClock, noopLog, noopMeter } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { sleep, startUpkeep } from "puffinarch";
 import { cellOf, part } from "./shardCellPart.js";
@@ -16,8 +16,8 @@
     const ordered: string[] = [];
     const upkeep = startUpkeep({
         clock,
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         port: {
             list: async () => [{ vmId: "vm-1", state: "up", workerId: "i-1" }],
             upkeep: async ({ vmId }) => {
--- a/features/steps/tokenSteps.ts
+++ b/features/steps/tokenSteps.ts
@@ -2,9 +2,9 @@
 import {
     createFakeClock,
     type FakeClock,
+    noopLog,
+    noopMeter,
     plainStep,
-    quietLog,
-    quietMeter,
     testQueue,
     workerEntry,
 } from "@puffinarch/stand-ins";
@@ -76,8 +76,8 @@
 ): WorkerLink =>
     openWorkerLink(worker, {
         clock,
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         workers: { stop: async () => "unknown", pace: async () => "unknown", ...port },
         fencingToken,
         newestToken,
@@ -291,8 +291,8 @@
     noteStartUnanswered(worker, 0, clock.monotonicMs());
     const watch = createWorkerWatch({
         clock,
-        log: quietLog,
-        meter: quietMeter,
+        log: noopLog,
+        meter: noopMeter,
         jobOf: () => undefined,
         onChange: () => {},
         countOthersAt: () => 0,
--- a/features/steps/usersPlatformSteps.ts
+++ b/features/steps/usersPlatformSteps.ts
@@ -18,7 +18,7 @@
     type WorkerEntry,
 } from "puffinarch";
 import {
-    createCallers,
+    createCallerServer,
     createPlatformMachines,
     createPlatformStore,
     createPlatformWorkers,
@@ -28,7 +28,7 @@
     readWorker,
     waveStateRow,
 } from "puffinarch-platform";
-import { createHttpCaller, createMeter } from "puffinarchd";
+import { createHttpClient, createMeter } from "puffinarchd";
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
@@ -91,7 +91,7 @@
 };
 
 const callerOf = (world: ScenarioWorld) => {
-    const http = createHttpCaller({ timeoutMs: 5_000, connectionsPerHost: 1, meter: createMeter() });
+    const http = createHttpClient({ timeoutMs: 5_000, connectionsPerHost: 1, meter: createMeter() });
     world.closers.push(() => http.close());
     return http;
 };
@@ -277,7 +277,7 @@
 });
 
 const serveCallers = async (world: ScenarioWorld, keys: CallerKeys): Promise<void> => {
-    const callers = createCallers({
+    const callers = createCallerServer({
         member: fakeMember(keys),
         log: { write: (...line) => part(world).logged.push(JSON.stringify(line)) },
         meter: createMeter(),
--- a/packages/puffinarchd/src/adapters/http.ts
+++ b/packages/puffinarchd/src/adapters/http.ts
@@ -32,7 +32,7 @@
 }
 
 /** HTTP client with a pool of connections for each origin. */
-export interface HttpCaller {
+export interface HttpClient {
     call<T>(
         method: "GET" | "POST" | "PUT" | "DELETE",
         url: string,
@@ -43,7 +43,7 @@
 }
 
 /** Limits and meter of an HTTP client. */
-export interface HttpCallerOptions {
+export interface HttpClientOptions {
     /** Limit of the time until an answer begins and between two chunks of it. */
     readonly timeoutMs: number;
     readonly connectionsPerHost: number;
@@ -174,7 +174,7 @@
  * const http = createHttpClient({ timeoutMs: 2_000, connectionsPerHost: 4, meter });
  * await http.call("GET", `${address}/vms`);
  */
-export const createHttpCaller = (limits: HttpCallerOptions): HttpCaller => {
+export const createHttpClient = (limits: HttpClientOptions): HttpClient => {
     const { timeoutMs, connectionsPerHost, keepAliveMs, connectTimeoutMs, meter } = limits;
     const byOrigin = new Map<string, Connections>();
 
--- a/packages/puffinarchd/src/adapters/machines.ts
+++ b/packages/puffinarchd/src/adapters/machines.ts
@@ -1,7 +1,7 @@
 /** HTTP adapters for workers and upstreams. */
 
 import type { StartOutcome, UpstreamPort, UpstreamStatus, WorkerPort, WorkerReport } from "puffinarch";
-import { bodyOf, type HttpCaller } from "./http.js";
+import { bodyOf, type HttpClient } from "./http.js";
 
 const okStatus = 200;
 
@@ -11,7 +11,7 @@
  * @example
  * const workers = createHttpWorkers(http);
  */
-export const createHttpWorkers = (http: HttpCaller): WorkerPort => ({
+export const createHttpWorkers = (http: HttpClient): WorkerPort => ({
     start: async (address, order) => {
         const result = await http.call<{ readonly outcome: StartOutcome; }>("POST", `${address}/start`, order);
         if (result.kind === "answered" && result.status === okStatus) {
@@ -34,6 +34,6 @@
  * @example
  * const upstreams = createHttpUpstreams(http);
  */
-export const createHttpUpstreams = (http: HttpCaller): UpstreamPort => ({
+export const createHttpUpstreams = (http: HttpClient): UpstreamPort => ({
     status: async address => bodyOf(await http.call<UpstreamStatus>("GET", `${address}/status`), "upstream"),
 });
--- a/packages/puffinarchd/src/adapters/members.ts
+++ b/packages/puffinarchd/src/adapters/members.ts
@@ -16,7 +16,7 @@
     type MemberPort,
     type Meter,
 } from "puffinarch";
-import { createHttpCaller } from "./http.js";
+import { createHttpClient } from "./http.js";
 
 /** Path prefix of calls between the daemons of a cell. */
 const memberPath = "/member";
@@ -96,7 +96,7 @@
  * await members.call("http://127.0.0.1:7100", "ping", { from: "entry-1" }, 400);
  */
 export const createHttpMembers = (meter: Meter): HttpMembers => {
-    const http = createHttpCaller({
+    const http = createHttpClient({
         timeoutMs: callTimeoutMs,
         connectionsPerHost: connectionsPerPeer,
         keepAliveMs,
--- a/packages/puffinarchd/src/adapters/platform.ts
+++ b/packages/puffinarchd/src/adapters/platform.ts
@@ -1,7 +1,7 @@
 /** HTTP adapters for the platform's table, object store and list of VMs. */
 
 import type { ObjectStore, TableRow, TableStore, TransactResult, VmList, VmListing } from "puffinarch";
-import { bodyOf, type HttpCaller } from "./http.js";
+import { bodyOf, type HttpClient } from "./http.js";
 
 const okStatus = 200;
 
@@ -12,7 +12,7 @@
  * @example
  * const table = createHttpTable(http, "http://127.0.0.1:7000");
  */
-export const createHttpTable = (http: HttpCaller, address: string): TableStore => ({
+export const createHttpTable = (http: HttpClient, address: string): TableStore => ({
     read: async keys =>
         bodyOf(await http.call<readonly TableRow[]>("POST", `${address}/table/read`, { keys }), "table"),
     scan: async prefix =>
@@ -32,7 +32,7 @@
  * @example
  * const objects = createHttpObjects(http, "http://127.0.0.1:7000");
  */
-export const createHttpObjects = (http: HttpCaller, address: string): ObjectStore => {
+export const createHttpObjects = (http: HttpClient, address: string): ObjectStore => {
     const urlOf = (key: string): string => `${address}/objects/${encodeURIComponent(key)}`;
     return {
         put: async (key, body) => {
@@ -51,6 +51,6 @@
  * @example
  * const vmList = createHttpVmList(http, "http://127.0.0.1:7000");
  */
-export const createHttpVmList = (http: HttpCaller, address: string): VmList => ({
+export const createHttpVmList = (http: HttpClient, address: string): VmList => ({
     list: async () => bodyOf(await http.call<VmListing>("GET", `${address}/vms`), "list of VMs"),
 });
--- a/packages/puffinarchd/src/daemon.ts
+++ b/packages/puffinarchd/src/daemon.ts
@@ -15,7 +15,7 @@
 import { fastifyTRPCPlugin } from "@trpc/server/adapters/fastify";
 import type { FastifyInstance } from "fastify";
 import { type Clock, createNode, defaultNodeSettings, failureOf, type Node, type Random, sleep } from "puffinarch";
-import { createHttpCaller, type HttpCaller } from "./adapters/http.js";
+import { createHttpClient, type HttpClient } from "./adapters/http.js";
 import { createHttpUpstreams, createHttpWorkers } from "./adapters/machines.js";
 import { createTrpcPeers, peerPath, peerRouter, type TrpcPeers } from "./adapters/peers.js";
 import { createHttpObjects, createHttpTable, createHttpVmList } from "./adapters/platform.js";
@@ -68,8 +68,8 @@
 interface DaemonParts {
     readonly settings: DaemonSettings;
     readonly meter: DaemonMeter;
-    readonly platform: HttpCaller;
-    readonly machines: HttpCaller;
+    readonly platform: HttpClient;
+    readonly machines: HttpClient;
     readonly peers: TrpcPeers;
 }
 
@@ -95,8 +95,8 @@
 const createParts = (settings: DaemonSettings, meter = createMeter()): DaemonParts => ({
     settings,
     meter,
-    platform: createHttpCaller({ timeoutMs: platformTimeoutMs, connectionsPerHost: 8, meter }),
-    machines: createHttpCaller({
+    platform: createHttpClient({ timeoutMs: platformTimeoutMs, connectionsPerHost: 8, meter }),
+    machines: createHttpClient({
         timeoutMs: (settings.timings?.pollWaitMs ?? defaultNodeSettings.pollWaitMs) + pollSlackMs,
         connectionsPerHost: 512,
         meter,
--- a/packages/stand-ins/src/cell/cell.ts
+++ b/packages/stand-ins/src/cell/cell.ts
@@ -71,13 +71,13 @@
     readonly vmId: string;
     readonly dataCentre: string;
     readonly node: Node;
-    readonly gate: SimulatedProcess;
+    readonly process: SimulatedProcess;
 }
 
 /** One end of a network link: the id of a VM, or `platformEndpoint`. */
 export type Endpoint = string;
 /** The platform as the end of a link. */
-export const platformPlace: Endpoint = "platform";
+export const platformEndpoint: Endpoint = "platform";
 
 /** Nodes, machines and the network between them, controlled by a test. */
 export interface Cell {
@@ -125,7 +125,7 @@
     /** Log lines of all daemons, newest last. */
     readonly logLines: readonly string[];
     /** Sum of a counter over all daemons, since the cell was created. */
-    total(name: string): number;
+    counterTotal(name: string): number;
 }
 
 const callTimeoutMs = 2_000;
@@ -205,16 +205,21 @@
     };
 
     const tableFor = (daemonProcess: SimulatedProcess, vmId: string): TableStore => ({
-        read: keys => callOrFail(daemonProcess, vmId, platformPlace, () => platform.table.read(keys)),
-        scan: prefix => callOrFail(daemonProcess, vmId, platformPlace, () => platform.table.scan(prefix)),
+        read: keys => callOrFail(daemonProcess, vmId, platformEndpoint, () => platform.table.read(keys)),
+        scan: prefix => callOrFail(daemonProcess, vmId, platformEndpoint, () => platform.table.scan(prefix)),
         transact: async transaction => {
-            const result = await send(daemonProcess, vmId, platformPlace, () => platform.table.transact(transaction));
+            const result = await send(
+                daemonProcess,
+                vmId,
+                platformEndpoint,
+                () => platform.table.transact(transaction),
+            );
             return result === "timeout" ? { outcome: "unknown" } : result;
         },
     });
 
     const vmListFor = (daemonProcess: SimulatedProcess, vmId: string): VmList => ({
-        list: () => callOrFail(daemonProcess, vmId, platformPlace, () => platform.vmList.list()),
+        list: () => callOrFail(daemonProcess, vmId, platformEndpoint, () => platform.vmList.list()),
     });
 
     const workerAt = (workerId: string): WorkerStandIn => {
@@ -260,12 +265,12 @@
         call: async (address, name, input) => {
             const result = await send(daemonProcess, vmId, address, async () => {
                 const peer = daemons.get(address);
-                if (peer === undefined || peer.gate.dead()) {
+                if (peer === undefined || peer.process.dead()) {
                     return die("unavailable", `peer ${address} is not running`);
                 }
-                await peer.gate.untilRunning();
+                await peer.process.untilRunning();
                 const output = await peer.node.handlers[name](structuredClone(input) as never) as never;
-                await peer.gate.untilRunning();
+                await peer.process.untilRunning();
                 return structuredClone(output);
             });
             return result === "timeout" ? die("mayHaveRun", `peer ${address} did not answer`) : result;
@@ -295,7 +300,7 @@
         const broken = breakPart(options.broken, ports);
         const settings = { ...defaultNodeSettings, ...options.settings, ...broken.settings, vmId, dataCentre };
         const node = createNode(settings, broken.ports);
-        daemons.set(vmId, { vmId, dataCentre, node, gate: daemonProcess });
+        daemons.set(vmId, { vmId, dataCentre, node, process: daemonProcess });
         void node.start(vmId);
     };
 
@@ -390,10 +395,10 @@
             cutLinks.clear();
             linkDelaysMs.clear();
         },
-        pause: vmId => findDaemon(vmId).gate.pause(),
-        resume: vmId => findDaemon(vmId).gate.resume(),
+        pause: vmId => findDaemon(vmId).process.pause(),
+        resume: vmId => findDaemon(vmId).process.resume(),
         kill: (vmId, vmGone) => {
-            findDaemon(vmId).gate.kill();
+            findDaemon(vmId).process.kill();
             if (vmGone) {
                 platform.removeVms([vmId]);
             }
@@ -412,6 +417,6 @@
         until,
         executions: () => [...workers.values()].flatMap(worker => worker.executions()),
         overcommits: () => [...workers.values()].reduce((sum, worker) => sum + worker.overcommits(), 0),
-        total: name => counterTotals.get(name) ?? 0,
+        counterTotal: name => counterTotals.get(name) ?? 0,
     };
 };
--- a/packages/stand-ins/src/explore/explore.ts
+++ b/packages/stand-ins/src/explore/explore.ts
@@ -6,7 +6,7 @@
 
 import { createSeededRandom, failureOf, isFinal, type JobSpec, type Random, type Task } from "puffinarch";
 import type { BrokenPart } from "../cell/brokenParts.js";
-import { type Cell, type CellDaemon, createCell, defaultCellOptions, platformPlace } from "../cell/cell.js";
+import { type Cell, type CellDaemon, createCell, defaultCellOptions, platformEndpoint } from "../cell/cell.js";
 import type { Fault } from "../faults.js";
 import { groupBy, tasksRunTwice } from "../runTwice.js";
 
@@ -66,10 +66,10 @@
     items[Math.floor(random.next() * items.length)];
 
 const liveDaemons = ({ cell, removed }: ScheduleRun): readonly CellDaemon[] =>
-    cell.daemons().filter(daemon => !removed.has(daemon.vmId) && !daemon.gate.dead());
+    cell.daemons().filter(daemon => !removed.has(daemon.vmId) && !daemon.process.dead());
 
 const readyDaemons = (run: ScheduleRun): readonly CellDaemon[] =>
-    liveDaemons(run).filter(daemon => !daemon.gate.paused() && daemon.node.ready());
+    liveDaemons(run).filter(daemon => !daemon.process.paused() && daemon.node.ready());
 
 /** Calls a node while the clock advances; undefined where the call failed or had no answer in time. */
 const callWhileAdvancing = async <T>(cell: Cell, call: () => Promise<T>): Promise<T | undefined> => {
@@ -134,13 +134,13 @@
 
 const pause: Action = run => {
     const daemon = pickRandom(run.random, liveDaemons(run));
-    daemon?.gate.pause();
+    daemon?.process.pause();
     return `pause ${daemon?.vmId}`;
 };
 
 const resume: Action = run => {
-    const daemon = pickRandom(run.random, liveDaemons(run).filter(each => each.gate.paused()));
-    daemon?.gate.resume();
+    const daemon = pickRandom(run.random, liveDaemons(run).filter(each => each.process.paused()));
+    daemon?.process.resume();
     return `resume ${daemon?.vmId}`;
 };
 
@@ -176,7 +176,7 @@
 };
 
 const endpoints = (run: ScheduleRun): readonly string[] => [
-    platformPlace,
+    platformEndpoint,
     ...liveDaemons(run).map(daemon => daemon.vmId),
     ...run.cell.workers().map(worker => worker.workerId),
 ];
@@ -289,7 +289,7 @@
     }
     const submitted = await submitThrough(run, daemon, backlogSpec(run));
     await advanceRandomly(run, 50, 600);
-    run.cell.cut(daemon.vmId, platformPlace);
+    run.cell.cut(daemon.vmId, platformEndpoint);
     await advanceRandomly(run, 6_000, 14_000);
     return `${submitted}; cut ${daemon.vmId} from the platform`;
 };
@@ -380,7 +380,7 @@
         worker.setFaults({ unreachable: false, losesStartReply: false });
     }
     for (const daemon of liveDaemons(run)) {
-        daemon.gate.resume();
+        daemon.process.resume();
     }
 };
 
--- a/packages/stand-ins/src/quiet.ts
+++ b/packages/stand-ins/src/quiet.ts
@@ -3,7 +3,7 @@
 import type { Log, Meter } from "puffinarch";
 
 /** Discards every log line. */
-export const quietLog: Log = { write: () => {} };
+export const noopLog: Log = { write: () => {} };
 
 /** Discards every metric; totals and percentiles are 0. */
-export const quietMeter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
+export const noopMeter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
--- a/packages/stand-ins/src/serve.ts
+++ b/packages/stand-ins/src/serve.ts
@@ -12,7 +12,7 @@
 const defaultScript: RequestScript = { workMs: 5, answerBytes: 64 };
 
 /** A server that is listening. */
-export interface Served {
+export interface RunningServer {
     /** Base URL. */
     readonly address: string;
     close(): Promise<void>;
@@ -20,7 +20,7 @@
 
 const createServer = (): FastifyInstance => Fastify({ bodyLimit: bodyLimitBytes, forceCloseConnections: true });
 
-const listen = async (server: FastifyInstance, port: number): Promise<Served> => {
+const listen = async (server: FastifyInstance, port: number): Promise<RunningServer> => {
     const address = await server.listen({ host: loopback, port });
     return { address, close: () => server.close() };
 };
@@ -31,7 +31,7 @@
  * @example
  * const { address } = await servePlatform(platform, 0);
  */
-export const servePlatform = async (platform: Platform, port: number): Promise<Served> => {
+export const servePlatform = async (platform: Platform, port: number): Promise<RunningServer> => {
     const server = createServer();
     server.setErrorHandler((error, _request, reply) => {
         void reply.code(failureOf(error).kind === "unavailable" ? 503 : 500).send(failureOf(error));
@@ -79,7 +79,7 @@
  * @example
  * const { address } = await serveWorkers([worker], 0);
  */
-export const serveWorkers = async (workers: readonly WorkerStandIn[], port: number): Promise<Served> => {
+export const serveWorkers = async (workers: readonly WorkerStandIn[], port: number): Promise<RunningServer> => {
     const server = createServer();
     const byId = new Map(workers.map(worker => [worker.workerId, worker]));
     const find = (workerId: string): WorkerStandIn => {
@@ -140,7 +140,7 @@
  * @example
  * const { address } = await serveUpstream(upstream, 0);
  */
-export const serveUpstream = async (upstream: UpstreamStandIn, port: number): Promise<Served> => {
+export const serveUpstream = async (upstream: UpstreamStandIn, port: number): Promise<RunningServer> => {
     const server = createServer();
     server.server.on("connection", socket => {
         if (!upstream.connect()) {
--- a/packages/stand-ins/src/shard/shardCell.ts
+++ b/packages/stand-ins/src/shard/shardCell.ts
@@ -37,7 +37,7 @@
 } from "puffinarch";
 import { z } from "zod";
 import { createFakeClock, type FakeClock } from "../cell/fakeClock.js";
-import { quietMeter } from "../quiet.js";
+import { noopMeter } from "../quiet.js";
 import { breakShardPart, type BrokenShardPart } from "./brokenShardParts.js";
 import { createCalm } from "./calm.js";
 import { capBreaches, type CapVersion, isUnderHalf } from "./capCheck.js";
@@ -550,7 +550,7 @@
         const member = startCellMember({
             clock: costs === noCosts ? suspension.clock : withLateTimers(suspension.clock, processor),
             log: writer,
-            meter: quietMeter,
+            meter: noopMeter,
             random,
             settings: {
                 ...defaultShardSettings,
