--- a/packages/stand-ins/src/shard/brokenShardParts.ts
+++ b/packages/stand-ins/src/shard/brokenShardParts.ts
@@ -1,4 +1,4 @@
-/** Parts of a daemon's surroundings in a cell that can be broken on purpose, to show that the check of standing tasks finds it. */
+/** Deliberate defects in a daemon's dependencies, which show that the check for stalled tasks detects them. */
 
 import {
     type AdvisorPort,
@@ -10,46 +10,46 @@
     type WorkerEntry,
 } from "puffinarch";
 
-/** What a daemon of a cell sees of its surroundings, as far as it can be broken. */
-export interface ShardSurroundings {
+/** The dependencies of a daemon that a defect can replace. */
+export interface MemberDependencies {
     readonly workers: FencedWorkerPort;
     readonly advisor: AdvisorPort;
     readonly readWorker: (row: Row) => Decoded<WorkerEntry>;
 }
 
-type Breaker = (surroundings: ShardSurroundings) => ShardSurroundings;
+type Breaker = (dependencies: MemberDependencies) => MemberDependencies;
 
 const breakers = {
-    /** A worker whose entry lapsed once is never seen to be listed again. */
-    listedOnce: surroundings => {
+    /** Hides the entry of a worker for good once it was removed, although the worker is listed again later. */
+    listedOnce: dependencies => {
         const lapsed = new Set<string>();
         return {
-            ...surroundings,
+            ...dependencies,
             readWorker: row => {
                 if (row.value === undefined) {
                     lapsed.add(row.key);
                 }
-                return lapsed.has(row.key) ? noEntry : surroundings.readWorker(row);
+                return lapsed.has(row.key) ? noEntry : dependencies.readWorker(row);
             },
         };
     },
-    /** Runs that ended undone are still listed as running, and their ends are not. */
-    endsHidden: surroundings => ({
-        ...surroundings,
+    /** Reports runs that ended in any other way than `done` as still running and leaves their ends out. */
+    endsHidden: dependencies => ({
+        ...dependencies,
         workers: {
-            ...surroundings.workers,
+            ...dependencies.workers,
             look: async (target, order) => {
-                const look = await surroundings.workers.look(target, order);
-                if (look.outcome !== "done") {
-                    return look;
+                const answer = await dependencies.workers.look(target, order);
+                if (answer.outcome !== "done") {
+                    return answer;
                 }
-                const undone = look.ended.filter(end => end.how !== runEnds.done);
+                const unfinished = answer.ended.filter(end => end.how !== runEnds.done);
                 return {
-                    ...look,
-                    ended: look.ended.filter(end => end.how === runEnds.done),
+                    ...answer,
+                    ended: answer.ended.filter(end => end.how === runEnds.done),
                     running: [
-                        ...look.running,
-                        ...undone.map(({ taskName, run }) => ({
+                        ...answer.running,
+                        ...unfinished.map(({ taskName, run }) => ({
                             taskName,
                             run,
                             checkpoint: "",
@@ -61,26 +61,26 @@
             },
         },
     }),
-    /** The advisor allows a step on no worker. */
-    nobodyAllowed: surroundings => ({
-        ...surroundings,
-        advisor: { advise: async request => ({ ...await surroundings.advisor.advise(request), good: [] }) },
+    /** Removes every worker from the advisor's answers, so that no step may run anywhere. */
+    nobodyAllowed: dependencies => ({
+        ...dependencies,
+        advisor: { advise: async request => ({ ...await dependencies.advisor.advise(request), good: [] }) },
     }),
 } satisfies Readonly<Record<string, Breaker>>;
 
-/** Name of a part that can be broken. */
+/** Name of a defect. */
 export type BrokenShardPart = keyof typeof breakers;
 
-/** All parts that can be broken. */
+/** The names of all defects. */
 export const brokenShardParts = Object.keys(breakers) as readonly BrokenShardPart[];
 
 /**
- * Breaks a part of a daemon's surroundings; undefined breaks nothing.
+ * Returns the dependencies with the given defect applied, or unchanged for undefined.
  *
  * @example
- * const { workers, advisor, readWorker } = breakShardPart("listedOnce", surroundings);
+ * const { workers, advisor, readWorker } = breakShardPart("listedOnce", dependencies);
  */
 export const breakShardPart = (
     part: BrokenShardPart | undefined,
-    surroundings: ShardSurroundings,
-): ShardSurroundings => part === undefined ? surroundings : breakers[part](surroundings);
+    dependencies: MemberDependencies,
+): MemberDependencies => part === undefined ? dependencies : breakers[part](dependencies);
--- a/packages/stand-ins/src/shard/calm.ts
+++ b/packages/stand-ins/src/shard/calm.ts
@@ -1,45 +1,48 @@
-/** Since when nothing has been wrong with a cell: what a scene does to it is noted, and what lasts is asked for. */
+/**
+ * Tracks since when a cell has been free of faults. Faults that a test injects are recorded when they begin and end; whether
+ * one still lasts is asked of the cell.
+ */
 
 import type { Clock } from "puffinarch";
 
-/** Tells for how long a cell has been without any fault. */
-export interface Calm {
-    /** Something is being done to the cell, or has just come to its end. */
-    note(): void;
-    /** The same object, whose calls by these names are noted. */
-    noting<T extends object>(target: T, names: readonly (keyof T & string)[]): T;
-    /** When the last fault was over; undefined while one lasts. */
-    sinceMs(): number | undefined;
+/** Tracks the faults of a cell. */
+export interface FaultTracker {
+    /** Records that a fault begins or ends now. */
+    recordFault(): void;
+    /** Wraps an object so that each call of the named methods records a fault. */
+    recordingCalls<T extends object>(target: T, names: readonly (keyof T & string)[]): T;
+    /** Time on the cell's monotonic clock at which the last fault was recorded; undefined while one lasts. */
+    faultFreeSinceMs(): number | undefined;
 }
 
 /**
- * Makes the watch of a cell's faults.
+ * Creates the fault tracker of a cell; `isFaulty` returns whether a fault lasts now.
  *
  * @example
- * const calm = createCalm(clock, () => cuts.size > 0);
- * const store = calm.noting(createFakeRowStore(clock), ["setFault"]);
+ * const faultTracker = createFaultTracker(clock, () => cuts.size > 0);
+ * const store = faultTracker.recordingCalls(createFakeRowStore(clock), ["setFault"]);
  */
-export const createCalm = (clock: Clock, isDisturbed: () => boolean): Calm => {
-    let notedAtMs = clock.monotonicMs();
-    const note = (): void => {
-        notedAtMs = clock.monotonicMs();
+export const createFaultTracker = (clock: Clock, isFaulty: () => boolean): FaultTracker => {
+    let lastFaultAtMs = clock.monotonicMs();
+    const recordFault = (): void => {
+        lastFaultAtMs = clock.monotonicMs();
     };
     return {
-        note,
-        noting: (target, names) => {
-            const noted = new Set<string | symbol>(names);
+        recordFault,
+        recordingCalls: (target, names) => {
+            const recordedNames = new Set<string | symbol>(names);
             return new Proxy(target, {
                 get: (from, name) => {
                     const value: unknown = Reflect.get(from, name);
-                    return noted.has(name) && typeof value === "function"
+                    return recordedNames.has(name) && typeof value === "function"
                         ? (...input: readonly unknown[]): unknown => {
-                            note();
+                            recordFault();
                             return Reflect.apply(value, from, input);
                         }
                         : value;
                 },
             });
         },
-        sinceMs: () => isDisturbed() ? undefined : notedAtMs,
+        faultFreeSinceMs: () => isFaulty() ? undefined : lastFaultAtMs,
     };
 };
--- a/packages/stand-ins/src/shard/capCheck.ts
+++ b/packages/stand-ins/src/shard/capCheck.ts
@@ -1,35 +1,35 @@
-/** Whether organisations kept to their caps, judged from the operator's versions and what workers carried out. */
+/** Checks that organisations stayed within their caps, from the operator's configurations and the runs that workers started. */
 
 import { add, noResources, type Resources, subtract } from "puffinarch";
 import type { StartEvidence } from "./fencedWorkers.js";
 
-/** The caps of one version of the configuration, by organisation; an amount of 0 is no limit. */
+/** The caps of one version of the configuration by organisation; an amount of 0 means no limit. */
 export interface CapVersion {
-    /** When the operator put it in force. */
+    /** When the operator wrote the version. */
     readonly atMs: number;
     readonly caps: ReadonlyMap<string, Resources>;
 }
 
-/** What the check is made from. */
+/** Input of the check. */
 export interface CapCheckOptions {
     readonly evidence: readonly StartEvidence[];
-    /** In the order in which they were put in force. */
+    /** In the order in which they were written. */
     readonly versions: readonly CapVersion[];
     /** Organisation of a task's job; empty for none. */
     readonly organisationOf: (taskName: string) => string;
+    /** Resources that a task holds while it runs. */
     readonly heldOf: (taskName: string) => Resources;
 }
 
-/** A version may be in force at some daemon for this long after the next one. */
-const inForceMs = 3_000;
-/** An organisation may have this many times its cap, and one task more. */
+/** A daemon may still apply a version for this long after the next one was written. */
+const versionOverlapMs = 3_000;
+/** An organisation may use this many times its cap, plus one task. */
 const overage = 1.1;
 const dimensions = ["cpuMillis", "memoryMib", "accelerators"] as const;
 
-/** A version may be in force from its own moment on, until some time after the next one. */
 const mayBeInForce = (versions: readonly CapVersion[], index: number, atMs: number): boolean => {
     const next = versions[index + 1];
-    return (versions[index]?.atMs ?? Infinity) <= atMs && (next === undefined || next.atMs + inForceMs >= atMs);
+    return (versions[index]?.atMs ?? Infinity) <= atMs && (next === undefined || next.atMs + versionOverlapMs >= atMs);
 };
 
 const highestCap = ({ versions }: CapCheckOptions, organisation: string, atMs: number): Resources => {
@@ -51,7 +51,7 @@
     readonly isEnd: boolean;
 }
 
-/** Ends come before the starts of the same moment. */
+/** Starts and ends of all runs by time; ends come before starts of the same moment, as the room they free can be used at once. */
 const changesOf = (evidence: readonly StartEvidence[]): readonly Change[] =>
     evidence.flatMap((start): Change[] => [
         { atMs: start.startedAtMs, start, isEnd: false },
@@ -59,8 +59,8 @@
     ]).sort((left, right) => left.atMs - right.atMs || Number(right.isEnd) - Number(left.isEnd));
 
 /**
- * Names the starts that brought an organisation over its cap, the tolerance and one task, by the highest of the versions that
- * may have been in force.
+ * Describes each start that brought an organisation above `overage` times its cap plus one task. The cap is the highest one of
+ * the versions that may have been in force at that time.
  *
  * @example
  * assert.deepEqual(capBreaches({ evidence, versions, organisationOf, heldOf }), []);
@@ -91,7 +91,7 @@
 };
 
 /**
- * Tells whether under half of a cap is used, in each amount that it limits.
+ * Returns whether less than half of each amount that the cap limits is used.
  *
  * @example
  * isUnderHalf({ cpuMillis: 1_000, memoryMib: 0, accelerators: 0 }, { cpuMillis: 4_000, memoryMib: 0, accelerators: 0 }); // true
--- a/packages/stand-ins/src/shard/delayedStart.ts
+++ b/packages/stand-ins/src/shard/delayedStart.ts
@@ -1,4 +1,7 @@
-/** Plays of one start that a worker leaves unanswered and carries out later, by when what else goes wrong around it is set. */
+/**
+ * Runs a scenario in which a worker leaves a start order unanswered and carries it out later, with crashes and other faults at
+ * set times around it.
+ */
 
 import { jobStates } from "puffinarch";
 import { jobIdOf, readSteps } from "./jobShapes.js";
@@ -7,42 +10,43 @@
 import { findStanding } from "./standing.js";
 import { watchStanding } from "./standingWatch.js";
 
-/** What happens around a start; times count from when it is sent. */
+/** Faults around one start order; times count from when the order is sent. */
 export interface DelayedStartPlan {
-    /** Of the job whose first start it is. */
+    /** Steps of the job, in the notation of `readSteps`; the order is the first start of the job. */
     readonly steps: string;
-    /** How long a worker that crashed is away. */
+    /** How long a crashed worker is down. */
     readonly downMs: number;
-    /** Until when the worker carries orders out late. */
+    /** How long the worker goes on carrying out orders late. */
     readonly lateForMs: number;
     /** When the worker crashes. */
     readonly crashesAtMs: readonly number[];
+    /** Faults by their names in `shardFaults`. */
     readonly faults: readonly { readonly name: string; readonly atMs: number; readonly forMs: number; }[];
-    /** Whether workers refuse tickets of other incarnations, as the daemons are told. */
+    /** Whether workers refuse tickets of other incarnations and the daemons are configured for it. */
     readonly checksTickets?: boolean;
-    /** Jobs that are submitted after it. */
+    /** Jobs that are submitted after the first one, `apartMs` apart. */
     readonly others?: { readonly count: number; readonly steps: string; readonly apartMs: number; };
 }
 
-/** What became of it. */
+/** Result of a run of the scenario. */
 export interface DelayedStartOutcome {
-    /** Broken promises, tasks that stood, and a job that did not end as it should. */
+    /** Violated guarantees, stalled tasks, and whether a job did not end in the expected state. */
     readonly wrong: readonly string[];
-    /** How long after the start was sent a task of the job was first at work. */
+    /** From when the start was sent until a task of the job first ran; Infinity where none did. */
     readonly firstRunAfterMs: number;
-    /** Starts that got no answer. */
+    /** Start orders that got no answer. */
     readonly unanswered: number;
 }
 
-/** From the choice of a worker to the start: the intent is made durable. */
-const intentMs = 8;
-const placesWithinMs = 2_000;
-const endsWithinMs = 60_000;
-/** What is under way when the job has ended has come by then. */
-const ordersArriveMs = 4_000;
+/** From the choice of a worker until the start is sent; the owner commits its intent in between. */
+const intentCommitMs = 8;
+const placementLimitMs = 2_000;
+const completionLimitMs = 60_000;
+/** Orders that are still on their way when the jobs end are carried out within this time. */
+const lateOrdersMs = 4_000;
 
-const untilPlaced = async (cell: ShardCell): Promise<string> => {
-    for (let waitedMs = 0; waitedMs < placesWithinMs; waitedMs += 1) {
+const awaitPlacement = async (cell: ShardCell): Promise<string> => {
+    for (let waitedMs = 0; waitedMs < placementLimitMs; waitedMs += 1) {
         const line = cell.log.find(({ event }) => event === "placed");
         if (line !== undefined) {
             return /@([^ ]+)/.exec(String(line.fields["runs"]))?.[1] ?? "";
@@ -53,7 +57,7 @@
 };
 
 /**
- * Plays a plan with the draws of a seed.
+ * Runs a plan on a new cell whose random choices come from the seed.
  *
  * @example
  * const { wrong } = await playDelayedStart(1, { steps: "2", downMs: 50, lateForMs: 200, crashesAtMs: [2_700], faults: [] });
@@ -76,20 +80,20 @@
         workers.setFault(workerId, "late");
     }
     cell.submit(jobId, readSteps(plan.steps));
-    const late = await untilPlaced(cell);
-    await clock.advance(intentMs);
+    const lateWorkerId = await awaitPlacement(cell);
+    await clock.advance(intentCommitMs);
     const sentAtMs = clock.monotonicMs();
-    for (const workerId of workers.workerIds().filter(each => each !== late)) {
+    for (const workerId of workers.workerIds().filter(each => each !== lateWorkerId)) {
         workers.setFault(workerId, "none");
     }
-    clock.setTimer(plan.lateForMs, () => workers.setFault(late, "none"));
+    clock.setTimer(plan.lateForMs, () => workers.setFault(lateWorkerId, "none"));
     for (const atMs of plan.crashesAtMs) {
-        clock.setTimer(atMs, () => cell.crashWorkers([late]));
+        clock.setTimer(atMs, () => cell.crashWorkers([lateWorkerId]));
     }
     for (const { name, atMs, forMs } of plan.faults) {
         clock.setTimer(atMs, () => {
-            const mend = shardFaults[name]?.(cell);
-            clock.setTimer(forMs, () => mend?.());
+            const undo = shardFaults[name]?.(cell);
+            clock.setTimer(forMs, () => undo?.());
         });
     }
     const jobs = [jobId];
@@ -100,10 +104,11 @@
             cell.submit(otherId, readSteps(plan.others?.steps ?? ""));
         });
     }
-    const wantedOf = (steps: string): string => /crashing|failing/.test(steps) ? jobStates.failed : jobStates.completed;
+    const expectedStateOf = (steps: string): string =>
+        /crashing|failing/.test(steps) ? jobStates.failed : jobStates.completed;
     const hasEnded = async (): Promise<boolean> =>
         [...await cell.statesOf(jobs)].every(([each, state]) =>
-            state === wantedOf(each === jobId ? plan.steps : plan.others?.steps ?? "")
+            state === expectedStateOf(each === jobId ? plan.steps : plan.others?.steps ?? "")
         );
     const lastAtMs = Math.max(
         plan.lateForMs,
@@ -111,14 +116,14 @@
         ...plan.faults.map(({ atMs, forMs }) => atMs + forMs),
     );
     await clock.advance(lastAtMs);
-    const ended = await cell.until(hasEnded, endsWithinMs);
-    await clock.advance(ordersArriveMs);
-    const standing = await findStanding(cell);
+    const ended = await cell.until(hasEnded, completionLimitMs);
+    await clock.advance(lateOrdersMs);
+    const stalledTasks = await findStanding(cell);
     const first = workers.evidence.find(({ taskName }) => taskName.startsWith(`${jobId}.`));
     return {
         wrong: [
-            ...ended ? [] : ["a job has not ended as it should"],
-            ...standing.map(taskName => `${taskName} stands with room for it`),
+            ...ended ? [] : ["a job did not end in the expected state"],
+            ...stalledTasks.map(taskName => `${taskName} stands with room for it`),
             ...watch.stood(),
             ...cell.breaches(),
         ],
--- a/packages/stand-ins/src/shard/exploreMain.ts
+++ b/packages/stand-ins/src/shard/exploreMain.ts
@@ -1,4 +1,10 @@
-/** `npm run explore:shard -- --seeds 200 [--from 1] [--crowded | --lasting | --power-loss [--queues N]] [--crashing] [--resizing] [--suspending] [--failing] [--capped] [--keeping-ids] [--down-ms N] [--delaying-orders] [--checking-tickets] [--draws N] [--broken PART]`: seeded runs with random faults, by hand. */
+/**
+ * Runs seeds with random faults from the command line; exits with 1 where one failed:
+ *
+ * `npm run explore:shard -- --seeds 200 [--from 1] [--crowded | --lasting | --power-loss [--queues N]] [--crashing] [--resizing]
+ * [--suspending] [--failing] [--capped] [--keeping-ids] [--down-ms N] [--delaying-orders] [--checking-tickets] [--draws N]
+ * [--broken PART]`
+ */
 
 import { Command, Option } from "commander";
 import { type BrokenShardPart, brokenShardParts } from "./brokenShardParts.js";
@@ -31,7 +37,7 @@
     "first seed",
     "1",
 ).option("--crowded", "jobs that mostly wait for room")
-    // Jobs that last leave no worker empty, which the crowded ones need.
+    // Long-running jobs leave no worker empty, but the tasks of crowded jobs need an empty one.
     .addOption(new Option("--lasting", "jobs that last as well").conflicts("crowded"))
     .option("--crashing", "jobs whose tasks crash the workers as well")
     .option("--resizing", "workers whose capacity shrinks and grows")
@@ -88,9 +94,9 @@
     queues,
     broken,
 } = program.opts<Options>();
-/** A slow store and the largest cell still accept by then. */
+/** Limit for the acceptance of a job after the last fault; a slow store in the largest cell still allows it. */
 const acceptedWithinMs = 4_000;
-/** The shortest time that the users' sites allow for a recovery. */
+/** Limit until every daemon is ready: the shortest recovery time that any of the users' sites demands. */
 const readyWithinMs = 12_000;
 
 const exploreLoss = async (seed: number): Promise<readonly string[]> => {
@@ -98,11 +104,11 @@
         seed,
         Number(queues),
     );
-    const late = [
+    const missedLimits = [
         ...acceptedAfterMs > acceptedWithinMs ? [`accepted after ${acceptedAfterMs} ms`] : [],
         ...readyAfterMs > readyWithinMs ? [`all ready after ${readyAfterMs} ms`] : [],
     ];
-    return late.length + breaches.length === 0 ? [] : [...late, ...breaches, ...faults];
+    return missedLimits.length + breaches.length === 0 ? [] : [...missedLimits, ...breaches, ...faults];
 };
 
 const explore = (seed: number, draw: number): Promise<readonly string[]> =>
@@ -122,17 +128,17 @@
         broken,
     });
 
-let played = 0;
+let runs = 0;
 let failed = 0;
 for (let seed = Number(from); seed < Number(from) + Number(seeds); seed += 1) {
     for (let draw = 0; draw < Number(draws); draw += 1) {
-        const wrong = await explore(seed, draw);
-        played += 1;
-        if (wrong.length > 0) {
+        const problems = await explore(seed, draw);
+        runs += 1;
+        if (problems.length > 0) {
             failed += 1;
-            process.stdout.write(`seed ${seed}${draw === 0 ? "" : `, draw ${draw}`}\n  ${wrong.join("\n  ")}\n`);
+            process.stdout.write(`seed ${seed}${draw === 0 ? "" : `, draw ${draw}`}\n  ${problems.join("\n  ")}\n`);
         }
     }
 }
-process.stdout.write(`${played} seeds, ${failed} failed\n`);
+process.stdout.write(`${runs} seeds, ${failed} failed\n`);
 process.exit(failed === 0 ? 0 : 1);
--- a/packages/stand-ins/src/shard/exploreSeed.ts
+++ b/packages/stand-ins/src/shard/exploreSeed.ts
@@ -1,44 +1,51 @@
-/** Seeded runs of a cell with one shard, with several faults at once, and what is wrong after them. */
+/** Runs a cell with one shard under several random faults at once, all chosen by a seed, and reports violated guarantees. */
 
 import { createSeededRandom, type Organisation, runEnds } from "puffinarch";
 import type { BrokenShardPart } from "./brokenShardParts.js";
 import {
+    completableShapes,
     crashingShapes,
     failingShapes,
-    fillingIds,
-    fillingShape,
+    firstLongRunningJobNumber,
     jobIdOf,
-    lastingIds,
-    lastingShapes,
+    longRunningShapes,
     randomShapes,
     readSteps,
-    soundShapes,
+    workerFillingJobNumber,
+    workerFillingShape,
 } from "./jobShapes.js";
 import { createShardCell, type ShardCell, testQueue } from "./shardCell.js";
 import { shardFaults } from "./shardFaults.js";
 import { findStanding } from "./standing.js";
 import { watchStanding } from "./standingWatch.js";
 
-/** Faults that end placing while they last, for cells in which it has to begin again. */
-const lastingFaults = ["workers not listed", "workers cut until their entries lapsed", "orders to a worker get lost"];
-/** Faults for cells with jobs that crash the workers: workers that crash of themselves, beside those. */
+/** Faults that stop all placement while they last, so that it has to resume after them. */
+const placementStoppingFaults = [
+    "workers not listed",
+    "workers cut until their entries lapsed",
+    "orders to a worker get lost",
+];
+/** Worker crashes that no task causes. */
 const crashFaults = ["a worker crashes and is back", "half of the workers crash and are back"];
-/** Faults for cells in which the capacity of workers changes. */
+/** Faults that change the capacity of workers. */
 const resizeFaults = ["half of the workers shrink to a quarter", "all workers shrink to half"];
-/** Faults for cells whose daemons' VMs are suspended. */
+/** Faults that suspend the VMs of daemons. */
 const suspendFaults = [
     "owner suspended for 3 s",
     "owner suspended for 9 s",
     "all suspended for 4 s",
     "two others suspended for 6 s",
 ];
-/** Faults for cells in which several workers fail everything at once; these last 4 to 7 s. */
-const failFaults = [
+/** Faults in which several workers fail every run; they last 4 to 7 s. */
+const workerFailureFaults = [
     "half of the workers fail everything",
     "all workers but one fail everything",
     "all workers but one, which has shrunk, fail everything",
 ];
-/** Faults that leave orders under way to workers that start again, some of them while nobody can look at these. */
+/**
+ * Faults after which an order can reach a restarted worker: late orders, worker crashes, and cuts and kills during which no
+ * daemon can look at the workers.
+ */
 const delayedOrderFaults = [
     ...Array.from({ length: 2 }, () => ["worker carries out late", "half of the workers carry out late"]).flat(),
     ...Array.from({ length: 2 }, () => crashFaults).flat(),
@@ -47,21 +54,24 @@
     "owner killed",
     "owner cut from the workers",
 ];
-/** Faults for cells whose organisations have caps. */
+/** Faults that change the caps of organisations. */
 const capFaults = ["caps lowered to a quarter", "caps raised to double"];
-const shortestFailMs = 4_000;
-const failSpreadMs = 3_000;
-/** Each of these is for a kind of cell only, and seeds of the others stay as they are. */
-const faultsOfKinds = [
-    ...lastingFaults,
+const shortestWorkerFailureMs = 4_000;
+const workerFailureSpreadMs = 3_000;
+/** Faults that only options add. They are not among `randomFaults`, so the draws of seeds run without these options stay the same. */
+const optionalFaults = [
+    ...placementStoppingFaults,
     ...crashFaults,
     ...resizeFaults,
     ...suspendFaults,
-    ...failFaults,
+    ...workerFailureFaults,
     ...capFaults,
 ];
-/** A crashed worker stays gone and a list without workers ends all placing, so these stand in the table alone. */
-const faultsAlone = [
+/**
+ * Faults that are never drawn by default: a worker that crashes without a restart stays away for good, and several others stop
+ * nearly all placement.
+ */
+const undrawnFaults = [
     "worker crashes",
     "half of the workers carry out late",
     "upkeep orders get lost",
@@ -69,26 +79,26 @@
     "orders to all workers get lost",
     "another cut from its peers",
 ];
-const randomFaults = Object.keys(shardFaults).filter(name => ![...faultsAlone, ...faultsOfKinds].includes(name));
+const randomFaults = Object.keys(shardFaults).filter(name => ![...undrawnFaults, ...optionalFaults].includes(name));
 const crashingShare = 0.2;
 const failingShare = 0.2;
-const workersOfSeed = 6;
+const workersPerCell = 6;
 /**
- * An advisor that allows so many workers in a row of six for each step, others for each. Tasks that last are allowed on each
- * second worker only, so that two others at the least are left to each step, in which any of the gangs finds room.
+ * Creates the rule by which the advisor allows workers. Each step may run on `allowed` consecutive workers of the six, starting
+ * at another worker for each step. Tasks of long-running jobs may run on every second worker only, so that each step keeps at
+ * least two workers without them, on which any of the gangs fits.
  */
-const allowsSome = (allowed: number) => (stepName: string, workerId: string): boolean => {
+const createAdviceRule = (allowed: number) => (stepName: string, workerId: string): boolean => {
     const [jobId = "", , step = ""] = stepName.split(".");
     const job = Number.parseInt(jobId, 16);
     const index = Number(/\d+/.exec(workerId)?.[0] ?? 0);
-    return job >= lastingIds ? index % 2 === 0 : (index + job + Number(step)) % workersOfSeed < allowed;
+    return job >= firstLongRunningJobNumber ? index % 2 === 0 : (index + job + Number(step)) % workersPerCell < allowed;
 };
-/** One worker of three may be full of a task that lasts; where jobs that last are submitted, two of four. */
 /**
- * Organisations with caps that the jobs of two thirds of the callers reach now and then; the largest gang of a job fits under
- * the lower one.
+ * Creates three organisations that submit in turn. Two have caps that their jobs reach at times; the lower cap is as large as
+ * the largest gang. The third has no cap.
  */
-const cappedOrganisations = (largestGangCores: number): readonly Organisation[] =>
+const createCappedOrganisations = (largestGangCores: number): readonly Organisation[] =>
     [["first", largestGangCores], ["second", 1.5 * largestGangCores], ["third", 0]].map(([name, cores]) => ({
         name: String(name),
         keyDigests: [],
@@ -96,23 +106,24 @@
         cap: { cpuMillis: 1_000 * Number(cores), memoryMib: 0, accelerators: 0 },
     }));
 const largestGangCores = 4;
-const largestGangCoresFailing = 10;
+const largestFailingGangCores = 10;
+/** A long-running task may fill one of the three allowed workers, or two of the four where long-running jobs are submitted. */
 const allowedWorkers = 3;
-const allowedBesideLasting = 4;
-/** Seeds of cells that differ in their draws are so far apart that none is that of another plan. */
-const seedsApart = 1_000_003;
+const allowedWorkersWithLongRunning = 4;
+/** Distance between the cell seeds of successive draws, larger than any range of seeds that is run so that none coincide. */
+const drawSeedStride = 1_000_003;
 const stepMs = 250;
 const jobShare = 0.5;
-/** How often a fault begins in a step, and how many there are at once. */
-const usualFaults = { share: 0.15, atOnce: 2 };
-const denseFaults = { share: 0.3, atOnce: 3 };
+/** `share` is the probability that a fault begins in a step, `atOnce` the most faults at a time. */
+const usualDensity = { share: 0.15, atOnce: 2 };
+const highDensity = { share: 0.3, atOnce: 3 };
 const shortestFaultMs = 500;
 const faultSpreadMs = 4_000;
-/** Long enough for leases of 5 s to end. */
+/** Long enough for leases of 5 s to expire. */
 const longFaultSpreadMs = 10_000;
 
 /**
- * Submits jobs while faults come and go, all chosen by the seed; at its end every fault is mended.
+ * Submits jobs while faults come and go, all chosen by the seed, and undoes the remaining faults at the end.
  *
  * @example
  * await runRandomFaults(cell, { seed: 7, forMs: 20_000, onJob: jobId => jobs.push(jobId) });
@@ -129,32 +140,32 @@
         shapes = randomShapes,
         faults = randomFaults,
         spreadMs = faultSpreadMs,
-        density = usualFaults,
+        density = usualDensity,
         organisationOf,
     }: {
         readonly seed: number;
         readonly forMs: number;
         readonly onJob: (jobId: string) => void;
-        /** Jobs whose tasks crash the workers are among those submitted where this is given; it is told of them. */
+        /** Receives the ID of each job whose tasks crash their workers; no such jobs are submitted where this is left out. */
         readonly onCrashingJob?: (jobId: string) => void;
-        /** The same for jobs whose tasks fail by themselves. */
+        /** Receives the ID of each job whose tasks fail by themselves; no such jobs are submitted where this is left out. */
         readonly onFailingJob?: (jobId: string) => void;
         readonly onFault?: (atMs: number, name: string) => void;
-        /** Steps of the jobs that are submitted. */
+        /** Steps of the other jobs, in the notation of `readSteps`. */
         readonly shapes?: readonly string[];
-        /** Faults that may come, by name. */
+        /** Names of the faults to draw from; a name that occurs several times is drawn more often. */
         readonly faults?: readonly string[];
-        /** By how much more than the shortest one a fault may last. */
+        /** How much longer than the shortest duration a fault may last. */
         readonly spreadMs?: number;
-        /** How often a fault begins in a step, and how many there are at once. */
+        /** Probability that a fault begins in a step, and the most faults at a time. */
         readonly density?: { readonly share: number; readonly atOnce: number; };
-        /** Organisation of the job with a number; jobs belong to none where it is left out. */
+        /** Organisation of the job with the given number; jobs belong to none where this is left out. */
         readonly organisationOf?: (job: number) => string;
     },
 ): Promise<void> => {
     const random = createSeededRandom(1_000 + seed);
     const choose = <T>(all: readonly T[]): T => all[Math.floor(random.next() * all.length)] as T;
-    const open: { readonly endsAtMs: number; readonly mend: () => void; }[] = [];
+    const activeFaults: { readonly endsAtMs: number; readonly undo: () => void; }[] = [];
     const endsAtMs = cell.clock.monotonicMs() + forMs;
     let jobs = 0;
     while (cell.clock.monotonicMs() < endsAtMs) {
@@ -164,13 +175,13 @@
             jobs += 1;
             const crashes = onCrashingJob !== undefined && random.next() < crashingShare;
             const fails = !crashes && onFailingJob !== undefined && random.next() < failingShare;
-            const { onThis, shapesOfThis } = crashes
-                ? { onThis: onCrashingJob, shapesOfThis: crashingShapes }
+            const { onSubmit, shapesOfKind } = crashes
+                ? { onSubmit: onCrashingJob, shapesOfKind: crashingShapes }
                 : fails
-                ? { onThis: onFailingJob, shapesOfThis: failingShapes }
-                : { onThis: onJob, shapesOfThis: shapes };
-            onThis(jobIdOf(jobs));
-            const steps = readSteps(choose(shapesOfThis));
+                ? { onSubmit: onFailingJob, shapesOfKind: failingShapes }
+                : { onSubmit: onJob, shapesOfKind: shapes };
+            onSubmit(jobIdOf(jobs));
+            const steps = readSteps(choose(shapesOfKind));
             if (organisationOf === undefined) {
                 cell.submit(jobIdOf(jobs), steps);
             }
@@ -178,44 +189,44 @@
                 cell.submitFor(organisationOf(jobs), jobIdOf(jobs), steps);
             }
         }
-        for (const [index, fault] of [...open.entries()].reverse()) {
+        for (const [index, fault] of [...activeFaults.entries()].reverse()) {
             if (fault.endsAtMs <= nowMs) {
-                open.splice(index, 1);
-                fault.mend();
+                activeFaults.splice(index, 1);
+                fault.undo();
             }
         }
-        if (random.next() < density.share && open.length < density.atOnce) {
+        if (random.next() < density.share && activeFaults.length < density.atOnce) {
             const name = choose(faults);
             onFault?.(nowMs, name);
-            const mend = shardFaults[name]?.(cell) ?? (() => {});
-            const [shortest, spread] = failFaults.includes(name)
-                ? [shortestFailMs, failSpreadMs]
+            const undo = shardFaults[name]?.(cell) ?? (() => {});
+            const [shortest, spread] = workerFailureFaults.includes(name)
+                ? [shortestWorkerFailureMs, workerFailureSpreadMs]
                 : [shortestFaultMs, spreadMs];
-            open.push({ endsAtMs: nowMs + shortest + spread * random.next(), mend });
+            activeFaults.push({ endsAtMs: nowMs + shortest + spread * random.next(), undo });
         }
     }
-    for (const fault of open) {
-        fault.mend();
+    for (const fault of activeFaults) {
+        fault.undo();
     }
 };
 
 /**
- * Whether so many workers crashed under one task of a job. Where two went down by the task beside it and the third, on which
- * it ran by itself, by chance, nothing tells the task from one that is the cause, and the job may be given up. Users allow it
- * after two already.
+ * Whether at least `minimumCrashes` workers crashed while they ran one task of a job, after which the job may be given up. A task that is
+ * not the cause can reach three: two workers crash because of a task beside it, and the third by chance while the task runs
+ * there alone. The scheduler cannot distinguish it from a task that causes the crashes. Users allow giving up after two.
  */
-const wasHit = ({ workers }: ShardCell, jobId: string, times: number): boolean => {
+const hasCrashedWorkers = ({ workers }: ShardCell, jobId: string, minimumCrashes: number): boolean => {
     const crashes = new Map<string, number>();
     for (const { taskName, how } of workers.evidence) {
         if (how === "crashed" && taskName.startsWith(`${jobId}.`)) {
             crashes.set(taskName, 1 + (crashes.get(taskName) ?? 0));
         }
     }
-    return [...crashes.values()].some(count => count >= times);
+    return [...crashes.values()].some(count => count >= minimumCrashes);
 };
 
-/** Whether so many runs of one task of a job, or of one gang, have failed as its queue allows. */
-const hasFailed = ({ workers, stepOf }: ShardCell, jobId: string): boolean => {
+/** Whether a task or gang of a job has failed in as many runs as its queue allows attempts. */
+const hasExhaustedAttempts = ({ workers, stepOf }: ShardCell, jobId: string): boolean => {
     const failures = new Map<string, Set<number>>();
     for (const { taskName, run, how } of workers.evidence) {
         if (how === runEnds.failed && taskName.startsWith(`${jobId}.`)) {
@@ -226,40 +237,45 @@
     return [...failures.values()].some(runs => runs.size >= testQueue.attempts);
 };
 
-/** What a seed is run with. */
+/** Options for the run of a seed. */
 export interface ExploreShardOptions {
-    /** Steps of the jobs that are submitted while faults come. */
+    /** Steps of the jobs that are submitted during the faults, in the notation of `readSteps`. */
     readonly shapes?: readonly string[] | undefined;
-    /** Adds jobs that last, on whose tasks nothing but the scheduler brings an end, and lets the list of workers lapse. */
+    /** Adds long-running jobs, whose tasks only the scheduler ends, and faults that remove the workers' entries. */
     readonly lasting?: boolean | undefined;
-    /** How long workers that crashed are away. */
+    /** How long crashed workers are down. */
     readonly crashedDownMs?: number | undefined;
-    /** Workers crash now and then, and start again under their IDs. */
+    /** Adds worker crashes, after which the workers restart under the same IDs. */
     readonly keepsIds?: boolean | undefined;
-    /** Lets the capacity of workers shrink and grow. */
+    /** Adds faults that shrink and restore the capacity of workers. */
     readonly resizing?: boolean | undefined;
-    /** Suspends the VMs of daemons. */
+    /** Adds faults that suspend the VMs of daemons. */
     readonly suspending?: boolean | undefined;
-    /** Adds jobs whose tasks crash the workers; these are to be given up, and no other job under which fewer than three crash. */
+    /**
+     * Adds jobs whose tasks crash their workers. The scheduler has to give these up; it may give up another job only after three
+     * workers crashed while they ran the same task of it, or two with `keepsIds`.
+     */
     readonly crashing?: boolean | undefined;
     /**
-     * Several workers fail everything for 4 to 7 s, others are full for good or shrunk; jobs fail by themselves among those
-     * that can be done, and the advisor allows three workers for each step.
+     * Adds faults in which several workers fail every run for 4 to 7 s while another is full or shrunk, and jobs that fail by
+     * themselves. The advisor allows three workers for each step, or four with `lasting`.
      */
     readonly failing?: boolean | undefined;
-    /** The jobs belong to three organisations, of which two have caps that are lowered and raised. */
+    /** Assigns the jobs to three organisations, two of which have caps that are lowered and raised. */
     readonly capped?: boolean | undefined;
-    /** Nothing but faults that leave orders under way to workers that start again, and more of them at once. */
+    /** Draws only faults after which orders can reach restarted workers, up to three at a time. */
     readonly delayingOrders?: boolean | undefined;
-    /** Whether workers refuse tickets of other incarnations, as daemons are told. */
+    /** Whether workers refuse tickets of other incarnations and the daemons are configured for it. */
     readonly checksTickets?: boolean | undefined;
-    /** Another number has task times, heartbeats and the daemons' own choices drawn anew, with the same jobs and faults. */
+    /** Another number draws new task durations, heartbeats and daemon choices for the same jobs and faults. */
     readonly draw?: number | undefined;
+    /** A deliberate defect in every daemon's dependencies. */
     readonly broken?: BrokenShardPart | undefined;
 }
 
 /**
- * Runs one seed on a cell of its own; gives what went wrong, nothing where all is well.
+ * Runs one seed on a new cell. Returns the violations and stalled tasks, followed by the faults that were injected; empty where
+ * no violation was found.
  *
  * @example
  * const wrong = await exploreShardSeed(7, { lasting: true });
@@ -282,20 +298,22 @@
         broken,
     }: ExploreShardOptions = {},
 ): Promise<readonly string[]> => {
-    const organisations = cappedOrganisations(
-        failing || shapes !== undefined ? largestGangCoresFailing : largestGangCores,
+    const organisations = createCappedOrganisations(
+        failing || shapes !== undefined ? largestFailingGangCores : largestGangCores,
     );
     const cell = createShardCell({
         members: 4,
-        workers: workersOfSeed,
-        seed: seed + draw * seedsApart,
+        workers: workersPerCell,
+        seed: seed + draw * drawSeedStride,
         failOften: 0.01,
         crashedDownMs,
         keepsIds,
         checksTickets,
         broken,
         ...(capped ? { organisations } : {}),
-        ...(failing ? { breaksGangs: true, isGood: allowsSome(lasting ? allowedBesideLasting : allowedWorkers) } : {}),
+        ...(failing
+            ? { breaksGangs: true, isGood: createAdviceRule(lasting ? allowedWorkersWithLongRunning : allowedWorkers) }
+            : {}),
     });
     const watch = watchStanding(cell);
     const jobs: string[] = [];
@@ -303,11 +321,11 @@
     const failingJobs: string[] = [];
     const faults: string[] = [];
     await cell.clock.advance(2_000);
-    for (const [index, steps] of (lasting ? lastingShapes : []).entries()) {
-        cell.submit(jobIdOf(lastingIds + index), readSteps(steps));
+    for (const [index, steps] of (lasting ? longRunningShapes : []).entries()) {
+        cell.submit(jobIdOf(firstLongRunningJobNumber + index), readSteps(steps));
     }
     if (failing && !lasting) {
-        cell.submit(jobIdOf(fillingIds), readSteps(fillingShape));
+        cell.submit(jobIdOf(workerFillingJobNumber), readSteps(workerFillingShape));
     }
     await runRandomFaults(cell, {
         seed,
@@ -315,44 +333,51 @@
         onJob: jobId => jobs.push(jobId),
         onFault: (atMs, name) => faults.push(`${atMs} ${name}`),
         ...(crashing ? { onCrashingJob: jobId => crashingJobs.push(jobId) } : {}),
-        ...(failing ? { shapes: soundShapes, onFailingJob: jobId => failingJobs.push(jobId) } : {}),
+        ...(failing ? { shapes: completableShapes, onFailingJob: jobId => failingJobs.push(jobId) } : {}),
         ...(shapes === undefined ? {} : { shapes }),
         ...(capped ? { organisationOf: job => organisations[job % organisations.length]?.name ?? "" } : {}),
         faults: delayingOrders ? delayedOrderFaults : [
             ...randomFaults,
-            ...lasting ? lastingFaults : [],
+            ...lasting ? placementStoppingFaults : [],
             ...crashing ? crashFaults : [],
-            // So often that about a quarter of the faults is of them.
+            // Repeated so that they are about a quarter of the faults.
             ...keepsIds ? Array.from({ length: 4 }, () => crashFaults).flat() : [],
             ...suspending ? Array.from({ length: 4 }, () => suspendFaults).flat() : [],
-            // So often that about a third of the faults is of them.
-            ...failing ? Array.from({ length: 4 }, () => failFaults).flat() : [],
+            // Repeated so that they are about a third of the faults.
+            ...failing ? Array.from({ length: 4 }, () => workerFailureFaults).flat() : [],
             ...capped ? Array.from({ length: 4 }, () => capFaults).flat() : [],
             ...resizing ? Array.from({ length: 6 }, () => resizeFaults).flat() : [],
         ],
         ...(lasting ? { spreadMs: longFaultSpreadMs } : {}),
-        ...(delayingOrders ? { density: denseFaults } : {}),
+        ...(delayingOrders ? { density: highDensity } : {}),
     });
-    // Jobs that crash the workers are still there, and are tried by themselves one after the other.
-    const standing = crashing
+    // Tasks that may crash workers are tried one at a time, so tasks may still wait while those jobs are open.
+    const stalledTasks = crashing
         ? []
         : (await findStanding(cell)).map(taskName => `${taskName} stands with room once nothing is wrong`);
-    // A worker that crashes under its ID between two owners says nothing of a run that had ended there, or never begun.
-    const hitsToGiveUp = keepsIds ? 2 : 3;
-    const left = async (): Promise<readonly string[]> => {
+    // If a worker restarts under its ID during a change of owner, the new owner cannot see that a run had ended there or had
+    // never begun. It counts such a crash against the task, so that two more are enough to give the job up.
+    const crashesToGiveUp = keepsIds ? 2 : 3;
+    const findUnexpectedStates = async (): Promise<readonly string[]> => {
         const states = await cell.statesOf([...jobs, ...crashingJobs, ...failingJobs]);
         const mayFail = (jobId: string): boolean =>
-            wasHit(cell, jobId, hitsToGiveUp) || failing && hasFailed(cell, jobId);
-        const isWrong = (jobId: string, state: string | undefined): boolean =>
+            hasCrashedWorkers(cell, jobId, crashesToGiveUp) || failing && hasExhaustedAttempts(cell, jobId);
+        const isUnexpected = (jobId: string, state: string | undefined): boolean =>
             crashingJobs.includes(jobId) || failingJobs.includes(jobId)
                 ? state !== "failed"
                 : state !== "completed" && !(state === "failed" && mayFail(jobId));
-        return [...states].filter(([jobId, state]) => isWrong(jobId, state)).map(([jobId, state]) =>
+        return [...states].filter(([jobId, state]) => isUnexpected(jobId, state)).map(([jobId, state]) =>
             `${jobId} is ${state}`
         );
     };
-    await cell.until(async () => (await left()).length === 0, 60_000);
-    const standingLast = (await findStanding(cell)).map(taskName => `${taskName} stands with room for it`);
-    const wrong = [...await left(), ...standing, ...standingLast, ...watch.stood(), ...cell.breaches()];
-    return wrong.length === 0 ? [] : [...wrong, ...faults];
+    await cell.until(async () => (await findUnexpectedStates()).length === 0, 60_000);
+    const stalledAtEnd = (await findStanding(cell)).map(taskName => `${taskName} stands with room for it`);
+    const problems = [
+        ...await findUnexpectedStates(),
+        ...stalledTasks,
+        ...stalledAtEnd,
+        ...watch.stood(),
+        ...cell.breaches(),
+    ];
+    return problems.length === 0 ? [] : [...problems, ...faults];
 };
--- a/packages/stand-ins/src/shard/fakeVms.ts
+++ b/packages/stand-ins/src/shard/fakeVms.ts
@@ -1,41 +1,45 @@
-/** Stand-ins for the VMs under the workers: upkeep that ends an incarnation, fencing tokens for each VM, and the evidence of both. */
+/**
+ * In-memory fake of the platform's VM calls: upkeep that ends the incarnation of a VM's worker, a fencing token for each VM, and
+ * records of both for checks.
+ */
 
 import { type Clock, die, type UpkeepOutcome, upkeepOutcomes, type VmPort, vmStates } from "puffinarch";
 import type { FakeFencedWorkers } from "./fencedWorkers.js";
 
 /**
- * What can be wrong with the calls. `late`, `veryLate`: an order gets no answer and is carried out 1 or 12 s after; `lost`:
- * it never is.
+ * Faults of the calls. `late`, `veryLate`: an order gets no answer and is carried out after 1 or 12 s. `lost`: an order gets no
+ * answer and is never carried out. `silent`: as `lost`, and the list of VMs is not answered either.
  */
 export const vmFaults = ["none", "late", "veryLate", "lost", "silent"] as const;
 /** One of `vmFaults`. */
 export type VmFault = (typeof vmFaults)[number];
 
-/** An upkeep that began, for the evidence. */
+/** Record of an upkeep that began. */
 export interface UpkeepEvidence {
     readonly vmId: string;
     readonly wave: number;
     readonly atMs: number;
-    /** Others that were down for the same wave. */
+    /** Other VMs that were in upkeep at that time. */
     readonly othersDown: number;
-    /** Runs that it cut off. */
+    /** Number of runs on the VM's worker that the upkeep ended. */
     readonly cutRuns: number;
 }
 
-/** The stand-ins. */
+/** The fake VMs with their call port, records and fault injection. */
 export interface FakeVms {
     readonly port: VmPort;
+    /** Every upkeep that began, in that order. */
     readonly evidence: readonly UpkeepEvidence[];
-    /** Orders that came with a lower token than the VM had seen, where none are refused. */
+    /** Orders that were carried out with a lower fencing token than an earlier one; filled where tokens are not checked. */
     readonly outOfTurn: readonly string[];
     setFault(fault: VmFault): void;
-    /** Whether nothing is wrong with orders and lists. */
-    isSound(): boolean;
+    /** Whether no fault is set. */
+    isFaultFree(): boolean;
 }
 
 const answerMs = 4;
 const unansweredMs = 1_500;
-const lateMs: Readonly<Partial<Record<VmFault, number>>> = { late: 1_000, veryLate: 12_000 };
+const lateDelaysMs: Readonly<Partial<Record<VmFault, number>>> = { late: 1_000, veryLate: 12_000 };
 /** How long a VM is down for its upkeep. */
 export const upkeepMs = 2_000;
 
@@ -48,19 +52,20 @@
 }
 
 /**
- * Makes a VM under each worker; the VM of "worker-1" is "vm-1".
+ * Creates a VM for each worker; the VM of "worker-1" is "vm-1".
  *
  * @example
- * const vms = createFakeVms({ clock, workers, renew: vmId => newWorkerIdOn(vmId) });
+ * const vms = createFakeVms({ clock, workers, startNextWorker: vmId => newWorkerIdOn(vmId) });
  */
-export const createFakeVms = ({ clock, workers, renew, checksTokens = true, keepsIds = false }: {
+export const createFakeVms = ({ clock, workers, startNextWorker, checksTokens = true, keepsIds = false }: {
     readonly clock: Clock;
     readonly workers: FakeFencedWorkers;
+    /** Whether orders with a lower fencing token than the VM has seen are refused. */
     readonly checksTokens?: boolean;
-    /** Whether the worker that starts after an upkeep has the ID of the one before. */
+    /** Whether the worker that starts after an upkeep keeps the ID of the previous one. */
     readonly keepsIds?: boolean;
-    /** The VM is up again; gives the id of its new worker. */
-    readonly renew: (vmId: string, workerId: string) => string;
+    /** Starts the worker of a VM whose upkeep is over; receives the previous worker's ID and returns the new one's. */
+    readonly startNextWorker: (vmId: string, workerId: string) => string;
 }): FakeVms => {
     const vms = new Map<string, FakeVm>();
     const evidence: UpkeepEvidence[] = [];
@@ -108,7 +113,7 @@
         }
         clock.setTimer(upkeepMs, () => {
             vm.state = vmStates.up;
-            vm.workerId = renew(vmId, workerId);
+            vm.workerId = startNextWorker(vmId, workerId);
         });
         return upkeepOutcomes.done;
     };
@@ -116,7 +121,7 @@
     return {
         evidence,
         outOfTurn,
-        isSound: () => fault === "none",
+        isFaultFree: () => fault === "none",
         setFault: next => {
             fault = next;
         },
@@ -132,7 +137,7 @@
                     await wait(answerMs);
                     return carryOut(vmId, wave, fencingToken);
                 }
-                const delayMs = lateMs[fault];
+                const delayMs = lateDelaysMs[fault];
                 if (delayMs !== undefined) {
                     clock.setTimer(delayMs, () => carryOut(vmId, wave, fencingToken));
                 }
--- a/packages/stand-ins/src/shard/fencedWorkers.ts
+++ b/packages/stand-ins/src/shard/fencedWorkers.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-ins for workers with fencing tokens: leases on their own clock, a list of ends that is kept until it is
- * acknowledged, orders that are lost or carried out late, and a new incarnation after a crash, under another ID or the same. They
- * keep the evidence.
+ * In-memory fakes of workers with fencing tokens. They keep leases on their own clocks and list ended runs until these are
+ * acknowledged. Orders can be lost or carried out late, and a crashed worker can be followed by a new incarnation under another
+ * ID or the same one. Every run is recorded for checks.
  */
 
 import {
@@ -24,105 +24,112 @@
     type WorkerTarget,
 } from "puffinarch";
 
-/** A start that a worker carried out, for the evidence. */
+/** Record of a run that a worker started. */
 export interface StartEvidence {
     readonly taskName: string;
     readonly run: number;
     readonly workerId: string;
     readonly startedAtMs: number;
+    /** Undefined while it runs. */
     endedAtMs: number | undefined;
+    /** How the run ended; undefined while it runs. */
     how: RunEnd | "crashed" | undefined;
-    /** The task crashes each worker that starts it. */
+    /** Whether the task crashes each worker that starts it. */
     readonly crashesWorkers: boolean;
-    /** When the end was acknowledged. */
+    /** When the owner acknowledged the end; undefined before. */
     notedAtMs: number | undefined;
-    /** The lease of its worker lapsed between its end and the acknowledgement. */
-    lapsedSince: boolean;
+    /** Whether the worker's lease expired between the end of the run and its acknowledgement. */
+    lapsedBeforeAcknowledged: boolean;
 }
 
 /**
- * What can be wrong with a worker. `late`: orders get no answer and are carried out three seconds after. `deaf`: orders get
- * lost, and looks do not.
+ * Faults of a worker. `cut`: no call reaches it. `late`: orders get no answer and are carried out after 3 s. `failing`: every run
+ * fails. `hanging`: runs make no progress and do not end. `deaf`: orders are lost, while looks are answered.
  */
 export const workerFaults = ["none", "cut", "late", "failing", "hanging", "deaf"] as const;
 /** One of `workerFaults`. */
 export type WorkerFault = (typeof workerFaults)[number];
 
-/** How a run of a task goes. */
+/** Simulated course of a run. */
 export interface RunModel {
     readonly durationMs: number;
     readonly fails: boolean;
-    /** The worker crashes this long after the run has started there; undefined where it does not. */
+    /** From the start of the run until it crashes its worker; undefined where it does not. */
     readonly crashesAfterMs?: number | undefined;
 }
 
-/** How long the tasks of a step run, and whether a run of one fails or crashes its worker. */
+/** Returns the simulated course of a run of a task. */
 export type TaskModel = (taskName: string, run: number) => RunModel;
 
-/** The stand-ins. */
+/** The fake workers with their call ports, records and fault injection. */
 export interface FakeFencedWorkers {
-    /** The workers as one daemon reaches them; the gate tells whether a link is open now. */
+    /** Creates the call port of one daemon; `isOpen` returns whether its link to a worker is up. */
     connect(isOpen: (workerId: string) => boolean): FencedWorkerPort;
     add(entry: WorkerEntry): void;
     setFault(workerId: string, fault: WorkerFault): void;
-    /** The worker's incarnation ends; what answers at its address from now on is another one. */
+    /** Ends the worker's incarnation; calls to it are answered with `otherIncarnation` from now on. */
     crash(workerId: string): void;
-    /** The same, but nobody answers at its address until `replace` brings another incarnation there. */
+    /** Ends the worker's incarnation; nothing answers at its address until `replace` or `restart`. */
     goDown(workerId: string): void;
-    /** The worker that went down is back at its address, as another incarnation under another ID. */
+    /** Starts another incarnation under another ID at the address of a worker that went down. */
     replace(workerId: string, next: WorkerEntry): void;
     /**
-     * The worker starts again under its ID: it holds and knows nothing, its ends are numbered from 1 and its clock begins at 0.
-     * What is wrong with its link stays so, and orders that are still under way reach this incarnation. Gives its entry.
+     * Starts a crashed worker under its ID with no state: it has no runs, numbers its ends from 1 and its clock starts at 0. The
+     * fault that was set on the worker stays, and late orders reach the new incarnation. Returns its entry; undefined for an
+     * unknown worker or one that is up.
      */
-    startAgain(workerId: string, capacity: Resources): WorkerEntry | undefined;
+    restart(workerId: string, capacity: Resources): WorkerEntry | undefined;
     workerIds(): readonly string[];
-    /** The worker's capacity is another one from now on; gives its entry. */
+    /** Changes the worker's capacity and returns its new entry; undefined where it is not up. */
     resize(workerId: string, capacity: Resources): WorkerEntry | undefined;
-    /** The entry of a worker that lives. */
+    /** The entry of a worker that is up; undefined for others. */
     entryOf(workerId: string): WorkerEntry | undefined;
-    /** What the runs on a worker hold, those that are being stopped with them. */
+    /** Resources held by the runs on a worker, including those that are being stopped. */
     heldOn(workerId: string): Resources;
-    /** Whether the worker lives and nothing is wrong with it. */
-    isSound(workerId: string): boolean;
+    /** Whether the worker is up and no fault is set on it. */
+    isFaultFree(workerId: string): boolean;
+    /** Every run that was started, in that order. */
     readonly evidence: readonly StartEvidence[];
-    /** Workers that ever held more than they have. */
+    /** Workers whose runs held more than their capacity at any time. */
     overcommitted(): readonly string[];
 }
 
 interface LiveRun {
     readonly evidence: StartEvidence;
+    /** Cancels the timer that would end the run. */
     cancel: () => void;
-    /** Begins its work, once all members of its gang are there. */
-    readonly work: () => () => void;
+    /** Sets the timer that ends the run and returns its cancel function; a gang member's once all members have started. */
+    readonly beginWork: () => () => void;
     readonly held: Resources;
     readonly checkpoint: string;
 }
 
 interface FakeWorker {
     entry: WorkerEntry;
-    /** What it had before it shrank, and until when a start that counts on it is no fault. */
-    readonly former: { readonly capacity: Resources; readonly untilMs: number; }[];
+    /** Earlier capacities, each with the time until which starts that fit it do not count as overcommitment. */
+    readonly formerCapacities: { readonly capacity: Resources; readonly untilMs: number; }[];
     token: number;
     fault: WorkerFault;
+    /** Whether this incarnation has not ended. */
     alive: boolean;
-    /** Nobody answers at its address. */
+    /** Whether nothing answers at its address. */
     down: boolean;
-    /** Scene time at which its own clock stood at 0. */
-    readonly clockZeroMs: number;
-    /** On its own clock. */
+    /** Time of the simulation at which the worker's own clock was 0. */
+    readonly clockStartMs: number;
+    /** End of the lease of its runs, on its own clock. */
     deadlineMs: number;
     cancelLapse: () => void;
     readonly running: Map<string, LiveRun>;
     readonly highestRun: Map<string, number>;
     ended: (EndedRun & { readonly evidence: StartEvidence; })[];
-    nextEnd: number;
-    /** Highest number that was acknowledged; an end with it or a lower one keeps no look from waiting. */
-    seenUpTo: number;
+    nextEndNumber: number;
+    /** Highest acknowledged end number; looks wait only while no end has a higher one. */
+    acknowledgedUpTo: number;
+    /** Callbacks of waiting looks. */
     readonly waiters: Set<() => void>;
 }
 
-/** The advisor's ticket for a step on a worker; it holds for one incarnation of it. */
+/** The advisor's ticket for a step on a worker; it is valid for one incarnation of the worker. */
 export const ticketFor = (stepName: string, entry: WorkerEntry | undefined): string =>
     `${stepName}@${entry?.workerId}@${entry?.bornAtMs}`;
 
@@ -130,17 +137,17 @@
 
 const answerMs = 1;
 const unansweredMs = 500;
-/** How long a start may count on room that a worker has no more: its news take a heartbeat. */
-const shrunkCountsMs = 4_500;
-const lateMs = 3_000;
-const failMs = 100;
-/** How long a member of a gang waits for the others. */
-const aloneMs = 3_000;
-/** As slow as the slower site allows. */
-const stopMs = 900;
+/** How long starts may still rely on the capacity that a worker had before it shrank, as the owner learns of it by heartbeat. */
+const shrinkNoticeMs = 4_500;
+const lateOrderDelayMs = 3_000;
+const failingRunMs = 100;
+/** How long a gang member waits for the other members before its run ends as `alone`. */
+const gangWaitMs = 3_000;
+/** The longest time for a stop at the slower of the users' sites. */
+const stopDurationMs = 900;
 
 /**
- * Makes the stand-ins.
+ * Creates the fake workers; `add` adds each one.
  *
  * @example
  * const workers = createFakeFencedWorkers({ clock, model, heldOf, leaseLimitMs, onCrash: entry => {} });
@@ -156,16 +163,18 @@
 }: {
     readonly clock: Clock;
     readonly model: TaskModel;
+    /** Resources that a task holds while it runs. */
     readonly heldOf: (taskName: string) => Resources;
     /**
-     * How many runs of a task's step, with the same number, have to be there before one of them works, and end with each
-     * other; 0 where a task has nothing to do with others.
+     * Size of a task's gang; 0 for a task in no gang. The runs of a gang's tasks that have the same number begin their work once
+     * all are started, and end together.
      */
     readonly gangSize?: (taskName: string) => number;
+    /** The longest lease that a worker grants. */
     readonly leaseLimitMs: number;
-    /** Whether a start is refused that shows no ticket of the worker's present incarnation. */
+    /** Whether a start is refused whose ticket is for another incarnation of the worker. */
     readonly checksTickets?: boolean;
-    /** A task has crashed the worker; it is down. */
+    /** Called when a task has crashed its worker, which is down then. */
     readonly onCrash: (entry: WorkerEntry) => void;
 }): FakeFencedWorkers => {
     const workers = new Map<string, FakeWorker>();
@@ -191,21 +200,21 @@
         start.endedAtMs = clock.monotonicMs();
         start.how = how;
         worker.ended.push({
-            endNumber: worker.nextEnd,
+            endNumber: worker.nextEndNumber,
             taskName: start.taskName,
             run: start.run,
             how,
             checkpoint: how === runEnds.stopped ? `saved-${start.run}` : "",
             evidence: start,
         });
-        worker.nextEnd += 1;
-        if (worker.nextEnd - 1 > worker.seenUpTo) {
+        worker.nextEndNumber += 1;
+        if (worker.nextEndNumber - 1 > worker.acknowledgedUpTo) {
             wakeAll(worker);
         }
         endGang(start, how === runEnds.done ? runEnds.done : runEnds.broken);
     };
 
-    /** Live runs of a gang, which have the same number; none of a task that is in no gang. */
+    /** Live runs of the gang to which a run belongs, which all have its run number; none for a task in no gang. */
     const membersOf = (
         { taskName, run }: StartEvidence,
     ): readonly { worker: FakeWorker; key: string; live: LiveRun; }[] =>
@@ -217,35 +226,35 @@
                 ).map(([key, live]) => ({ worker, key, live }))
             );
 
-    /** The members of a gang end done together, and those that are left when one has ended otherwise are broken. */
+    /** Ends the remaining members of a gang when one has ended: as `done` with one that is done, otherwise as `broken`. */
     const endGang = (ended: StartEvidence, how: RunEnd): void => {
         for (const { worker, key } of membersOf(ended)) {
             endRun(worker, key, how);
         }
     };
 
-    const lapse = (worker: FakeWorker): void => {
+    const expireLease = (worker: FakeWorker): void => {
         for (const end of worker.ended) {
-            end.evidence.lapsedSince = true;
+            end.evidence.lapsedBeforeAcknowledged = true;
         }
         for (const key of [...worker.running.keys()]) {
             endRun(worker, key, runEnds.lapsed);
         }
     };
 
-    const clockOf = ({ clockZeroMs }: FakeWorker): number => clock.monotonicMs() - clockZeroMs;
+    const workerTimeMs = ({ clockStartMs }: FakeWorker): number => clock.monotonicMs() - clockStartMs;
 
-    const extend = (worker: FakeWorker, deadlineMs: number | undefined): void => {
+    const renewLease = (worker: FakeWorker, deadlineMs: number | undefined): void => {
         if (deadlineMs === undefined) {
             return;
         }
-        const nowMs = clockOf(worker);
+        const nowMs = workerTimeMs(worker);
         worker.deadlineMs = Math.max(worker.deadlineMs, Math.min(deadlineMs, nowMs + leaseLimitMs));
         worker.cancelLapse();
-        worker.cancelLapse = clock.setTimer(Math.max(0, worker.deadlineMs - nowMs), () => lapse(worker));
+        worker.cancelLapse = clock.setTimer(Math.max(0, worker.deadlineMs - nowMs), () => expireLease(worker));
     };
 
-    const raise = (worker: FakeWorker, token: number): boolean => {
+    const acceptToken = (worker: FakeWorker, token: number): boolean => {
         if (token < worker.token) {
             return false;
         }
@@ -268,14 +277,14 @@
         }
     };
 
-    /** Calls that wait for an answer of the worker learn at once that the connection is gone. */
+    /** Ends the incarnation and wakes waiting looks, which return at once that the connection is lost. */
     const goDown = (worker: FakeWorker): void => {
         worker.down = true;
         endIncarnation(worker);
         wakeAll(worker);
     };
 
-    const crashLater = (worker: FakeWorker, delayMs: number): () => void =>
+    const scheduleCrash = (worker: FakeWorker, delayMs: number): () => void =>
         clock.setTimer(delayMs, () => {
             if (worker.alive) {
                 goDown(worker);
@@ -283,17 +292,17 @@
             }
         });
 
-    const mayCountOnFormer = ({ former }: FakeWorker, held: Resources): boolean =>
-        former.some(({ capacity, untilMs }) => clock.monotonicMs() <= untilMs && fits(held, capacity));
+    const fitsFormerCapacity = ({ formerCapacities }: FakeWorker, held: Resources): boolean =>
+        formerCapacities.some(({ capacity, untilMs }) => clock.monotonicMs() <= untilMs && fits(held, capacity));
 
     const start = (worker: FakeWorker, order: RunOrder): OrderOutcome => {
-        if (!raise(worker, order.fencingToken)) {
+        if (!acceptToken(worker, order.fencingToken)) {
             return orderOutcomes.fenced;
         }
-        if (order.deadlineMs <= clockOf(worker)) {
+        if (order.deadlineMs <= workerTimeMs(worker)) {
             return orderOutcomes.late;
         }
-        extend(worker, order.deadlineMs);
+        renewLease(worker, order.deadlineMs);
         const key = keyOf(order.taskName, order.run);
         if (worker.running.has(key)) {
             return orderOutcomes.done;
@@ -308,7 +317,7 @@
         }
         worker.highestRun.set(order.taskName, order.run);
         const { durationMs, fails, crashesAfterMs } = model(order.taskName, order.run);
-        const made: StartEvidence = {
+        const startRecord: StartEvidence = {
             taskName: order.taskName,
             run: order.run,
             workerId: worker.entry.workerId,
@@ -316,53 +325,54 @@
             endedAtMs: undefined,
             how: undefined,
             notedAtMs: undefined,
-            lapsedSince: false,
+            lapsedBeforeAcknowledged: false,
             crashesWorkers: crashesAfterMs !== undefined,
         };
-        evidence.push(made);
+        evidence.push(startRecord);
         const failing = worker.fault === "failing";
-        const endLater = (): () => void =>
+        const scheduleEnd = (): () => void =>
             worker.fault === "hanging" ? () => {} : clock.setTimer(
-                failing ? failMs : durationMs,
+                failing ? failingRunMs : durationMs,
                 () => endRun(worker, key, failing || fails ? runEnds.failed : runEnds.done),
             );
-        const work = (): () => void => crashesAfterMs === undefined ? endLater() : crashLater(worker, crashesAfterMs);
+        const beginWork = (): () => void =>
+            crashesAfterMs === undefined ? scheduleEnd() : scheduleCrash(worker, crashesAfterMs);
         const isMember = gangSize(order.taskName) > 0;
         worker.running.set(key, {
-            evidence: made,
-            cancel: isMember ? clock.setTimer(aloneMs, () => endRun(worker, key, runEnds.alone)) : work(),
-            work,
+            evidence: startRecord,
+            cancel: isMember ? clock.setTimer(gangWaitMs, () => endRun(worker, key, runEnds.alone)) : beginWork(),
+            beginWork,
             held: heldOf(order.taskName),
             checkpoint: order.checkpoint,
         });
-        const members = membersOf(made);
+        const members = membersOf(startRecord);
         if (isMember && members.length === gangSize(order.taskName)) {
             for (const { live } of members) {
                 live.cancel();
-                live.cancel = live.work();
+                live.cancel = live.beginWork();
             }
         }
         const held = [...worker.running.values()].reduce((sum, run) => add(sum, run.held), noResources);
-        if (!fits(held, worker.entry.capacity) && !mayCountOnFormer(worker, held)) {
+        if (!fits(held, worker.entry.capacity) && !fitsFormerCapacity(worker, held)) {
             overcommitted.add(worker.entry.workerId);
         }
         return orderOutcomes.done;
     };
 
     const stop = (worker: FakeWorker, { taskName, run, fencingToken }: RunStop): OrderOutcome => {
-        if (!raise(worker, fencingToken)) {
+        if (!acceptToken(worker, fencingToken)) {
             return orderOutcomes.fenced;
         }
         worker.highestRun.set(taskName, Math.max(run, worker.highestRun.get(taskName) ?? 0));
-        clock.setTimer(stopMs, () => endRun(worker, keyOf(taskName, run), runEnds.stopped));
+        clock.setTimer(stopDurationMs, () => endRun(worker, keyOf(taskName, run), runEnds.stopped));
         return orderOutcomes.done;
     };
 
     const acknowledge = (worker: FakeWorker, upTo: number): void => {
-        if (upTo <= worker.seenUpTo) {
+        if (upTo <= worker.acknowledgedUpTo) {
             return;
         }
-        worker.seenUpTo = upTo;
+        worker.acknowledgedUpTo = upTo;
         for (const end of worker.ended) {
             if (end.endNumber <= upTo) {
                 end.evidence.notedAtMs = clock.monotonicMs();
@@ -371,9 +381,9 @@
         worker.ended = worker.ended.filter(end => end.endNumber > upTo);
     };
 
-    const show = (worker: FakeWorker): LookResult => ({
+    const createLookResult = (worker: FakeWorker): LookResult => ({
         outcome: orderOutcomes.done,
-        clockMs: clockOf(worker),
+        clockMs: workerTimeMs(worker),
         ...(worker.entry.bornAtMs === undefined ? {} : { bornAtMs: worker.entry.bornAtMs }),
         running: [...worker.running.values()].map(({ evidence: run, checkpoint, held }) => ({
             taskName: run.taskName,
@@ -397,15 +407,17 @@
         });
 
     const waitForEnd = (worker: FakeWorker, waitMs: number): Promise<void> =>
-        worker.nextEnd - 1 > worker.seenUpTo || waitMs === 0 ? Promise.resolve() : new Promise(resolve => {
-            const wake = (): void => {
-                cancel();
-                worker.waiters.delete(wake);
-                resolve();
-            };
-            const cancel = clock.setTimer(waitMs, wake);
-            worker.waiters.add(wake);
-        });
+        worker.nextEndNumber - 1 > worker.acknowledgedUpTo || waitMs === 0
+            ? Promise.resolve()
+            : new Promise(resolve => {
+                const wake = (): void => {
+                    cancel();
+                    worker.waiters.delete(wake);
+                    resolve();
+                };
+                const cancel = clock.setTimer(waitMs, wake);
+                worker.waiters.add(wake);
+            });
 
     const connect = (isOpen: (workerId: string) => boolean): FencedWorkerPort => {
         const reach = async (
@@ -440,8 +452,8 @@
                 return orderOutcomes.unknown;
             }
             if (worker.fault === "late") {
-                clock.setTimer(lateMs, () => {
-                    // It names the ID alone, so that the incarnation that answers to it by then carries it out.
+                clock.setTimer(lateOrderDelayMs, () => {
+                    // The order names only the worker's ID, so whichever incarnation has that ID by then carries it out.
                     const present = workers.get(target.workerId);
                     if (present?.alive === true) {
                         carryOut(present);
@@ -456,28 +468,28 @@
             target: WorkerTarget,
             { fencingToken, acknowledgedEnd, deadlineMs, waitMs, patienceMs }: LookOrder,
         ): Promise<LookResult> => {
-            const lostMs = Math.min(unansweredMs, waitMs + patienceMs);
-            const worker = await reach(target, lostMs);
+            const answerTimeoutMs = Math.min(unansweredMs, waitMs + patienceMs);
+            const worker = await reach(target, answerTimeoutMs);
             if (worker === undefined || worker === "down") {
                 return { outcome: orderOutcomes.unknown, connectionLost: worker === "down" };
             }
             if (worker === "otherIncarnation") {
                 return { outcome: orderOutcomes.otherIncarnation };
             }
-            if (!raise(worker, fencingToken)) {
+            if (!acceptToken(worker, fencingToken)) {
                 return { outcome: orderOutcomes.fenced };
             }
-            extend(worker, deadlineMs);
+            renewLease(worker, deadlineMs);
             acknowledge(worker, acknowledgedEnd);
             await waitForEnd(worker, waitMs);
             if (!isOpen(target.workerId) || (worker.fault as WorkerFault) === "cut") {
-                await wait(lostMs);
+                await wait(answerTimeoutMs);
                 return { outcome: orderOutcomes.unknown };
             }
             if (worker.down) {
                 return { outcome: orderOutcomes.unknown, connectionLost: true };
             }
-            return worker.alive ? show(worker) : { outcome: orderOutcomes.otherIncarnation };
+            return worker.alive ? createLookResult(worker) : { outcome: orderOutcomes.otherIncarnation };
         };
         return {
             start: (target, sent, timeoutMs) => order(target, timeoutMs, worker => start(worker, sent)),
@@ -487,22 +499,22 @@
         };
     };
 
-    const addWorker = (entry: WorkerEntry, fault: WorkerFault = "none", clockZeroMs = 0): void => {
+    const addWorker = (entry: WorkerEntry, fault: WorkerFault = "none", clockStartMs = 0): void => {
         workers.set(entry.workerId, {
             entry,
-            former: [],
+            formerCapacities: [],
             token: 0,
             fault,
             alive: true,
             down: false,
-            clockZeroMs,
+            clockStartMs,
             deadlineMs: 0,
             cancelLapse: () => {},
             running: new Map(),
             highestRun: new Map(),
             ended: [],
-            nextEnd: 1,
-            seenUpTo: 0,
+            nextEndNumber: 1,
+            acknowledgedUpTo: 0,
             waiters: new Set(),
         });
     };
@@ -535,7 +547,7 @@
             }
             addWorker(next);
         },
-        startAgain: (workerId, capacity) => {
+        restart: (workerId, capacity) => {
             const worker = workers.get(workerId);
             if (worker === undefined || worker.alive) {
                 return undefined;
@@ -550,7 +562,10 @@
             if (worker?.alive !== true) {
                 return undefined;
             }
-            worker.former.push({ capacity: worker.entry.capacity, untilMs: clock.monotonicMs() + shrunkCountsMs });
+            worker.formerCapacities.push({
+                capacity: worker.entry.capacity,
+                untilMs: clock.monotonicMs() + shrinkNoticeMs,
+            });
             worker.entry = { ...worker.entry, capacity };
             return worker.entry;
         },
@@ -560,17 +575,17 @@
         },
         heldOn: workerId =>
             [...workers.get(workerId)?.running.values() ?? []].reduce((sum, run) => add(sum, run.held), noResources),
-        isSound: workerId => workers.get(workerId)?.alive === true && workers.get(workerId)?.fault === "none",
+        isFaultFree: workerId => workers.get(workerId)?.alive === true && workers.get(workerId)?.fault === "none",
         evidence,
         overcommitted: () => [...overcommitted],
     };
 };
 
-/** A task that crashes its workers may be given up after two, and is started so often at most once three have crashed. */
+/** A task that crashes its workers may be given up after two crashes, and may be started at most twice after the third. */
 const crashesToCount = 3;
 const startsAfterCrashes = 2;
 
-/** Whether a task that crashes its workers was started too often after the third crash. */
+/** Whether a task that crashes its workers was started more than `startsAfterCrashes` times after the third crash. */
 const startedTooOften = (starts: readonly StartEvidence[]): boolean => {
     const crashes = starts.filter(start => start.crashesWorkers && start.how === "crashed")
         .map(start => start.endedAtMs ?? Infinity)
@@ -579,8 +594,8 @@
     return third !== undefined && starts.filter(start => start.startedAtMs > third).length > startsAfterCrashes;
 };
 
-/** What the evidence says against the scheduler; empty where every promise was kept. */
-export const breachesOf = (
+/** Violations of the scheduler's guarantees in the recorded runs. `mayRepeat` returns whether a task may run several times at once. */
+export const findBreaches = (
     evidence: readonly StartEvidence[],
     mayRepeat: (taskName: string) => boolean,
 ): readonly string[] => {
@@ -591,7 +606,7 @@
     }
     for (const [taskName, starts] of byTask) {
         if (startedTooOften(starts)) {
-            breaches.push(`${taskName} was started on and on, though it had crashed ${crashesToCount} workers`);
+            breaches.push(`${taskName} was started again and again after it had crashed ${crashesToCount} workers`);
         }
         if (mayRepeat(taskName)) {
             continue;
@@ -599,9 +614,9 @@
         for (const [index, start] of starts.entries()) {
             for (const later of starts.slice(index + 1)) {
                 if (start.endedAtMs === undefined || later.startedAtMs < start.endedAtMs) {
-                    breaches.push(`${taskName} ran twice at once: ${start.workerId} and ${later.workerId}`);
+                    breaches.push(`${taskName} ran twice at the same time: on ${start.workerId} and ${later.workerId}`);
                 }
-                if (start.how === runEnds.done && start.notedAtMs !== undefined && !start.lapsedSince) {
+                if (start.how === runEnds.done && start.notedAtMs !== undefined && !start.lapsedBeforeAcknowledged) {
                     breaches.push(`${taskName} was started again after its end was acknowledged`);
                 }
             }
--- a/packages/stand-ins/src/shard/jobShapes.ts
+++ b/packages/stand-ins/src/shard/jobShapes.ts
@@ -1,4 +1,4 @@
-/** Shapes of jobs for a cell with one shard: steps by words, and what seeded runs submit. */
+/** Descriptions of jobs for a cell with one shard: a text notation for steps, and the jobs that seeded runs submit. */
 
 import type { Step } from "puffinarch";
 import { crashingImages, failingImages, plainStep } from "./shardCell.js";
@@ -17,7 +17,13 @@
     return words.includes("crashing") ? crashingImages.all : plainStep.image;
 };
 
-/** Reads steps such as "3, 4 after 0, 2 gang, 1 of 8 accelerators for 2000 ms". */
+/**
+ * Parses the steps of a job from a text such as "3, 4 after 0, 2 gang, 1 of 8 accelerators for 2000 ms". Each step begins with
+ * its number of tasks; "after 0" makes it depend on the first step.
+ *
+ * @example
+ * const steps = readSteps("2 of 4 cores, 1 after 0");
+ */
 export const readSteps = (text: string): readonly Step[] =>
     text.split(",").map(each => {
         const words = each.trim();
@@ -41,18 +47,18 @@
         };
     });
 
-/** A job id for a number. */
+/** Returns the ID of the job with the given number: 16 hexadecimal digits. */
 export const jobIdOf = (number: number): string => number.toString(16).padStart(16, "0");
 
-/** Steps of jobs where a run asks for no others. */
+/** Jobs that are submitted by default. */
 export const randomShapes = ["2", "3, 4 after 0", "2, 2 after 0, 1 after 1", "4 gang", "3 speculative, 1 after 0"];
-/** Tasks that need much of a worker, so that most wait for room. */
+/** Jobs whose tasks need much of a worker, so that most of them wait for room. */
 export const crowdedShapes = ["2 of 8 cores", "3 of 5 cores checkpointing, 2 of 8 cores after 0", "4 of 3 cores"];
-/** Jobs that last take half of the room of six workers, by tasks of three sizes; their ids follow those of all others. */
-export const lastingShapes = ["4 long running", "2 long running of 4 cores", "1 long running of 8 cores"];
-/** The number of the first job that lasts. */
-export const lastingIds = 9_001;
-/** Jobs that can never be done, as their tasks crash the workers; one is submitted in place of each fifth of the others. */
+/** Long-running jobs with tasks of three sizes; together they take 20 of the 48 cores of six workers. */
+export const longRunningShapes = ["4 long running", "2 long running of 4 cores", "1 long running of 8 cores"];
+/** Number of the first long-running job, above the numbers of all other jobs. */
+export const firstLongRunningJobNumber = 9_001;
+/** Jobs that can never be completed, as their tasks crash their workers; about one submitted job in five is one of these. */
 export const crashingShapes = [
     "1 crashing",
     "3 first crashing",
@@ -61,7 +67,7 @@
     "1 long running crashing",
     "1, 6 crashing after 0",
 ];
-/** Jobs that can never be done, as their tasks fail by themselves; one is submitted in place of each fifth of the others. */
+/** Jobs that can never be completed, as their tasks fail by themselves; about one submitted job in five is one of these. */
 export const failingShapes = [
     "1 failing",
     "3 first failing",
@@ -70,15 +76,15 @@
     "2 gang of 5 cores first failing",
     "1, 3 gang of 3 cores first failing after 0",
 ];
-/** Jobs that can be done beside those: gangs that need two or three workers too. */
-export const soundShapes = [
+/** Jobs that can be completed while the failing ones run; they include gangs that need two or three workers. */
+export const completableShapes = [
     "2",
     "3, 4 after 0",
     "3 gang of 3 cores",
     "2 gang of 5 cores",
     "2 of 3 cores, 1 of 5 cores after 0",
 ];
-/** Fills a worker for good, so that it is none that a task could go to. */
-export const fillingShape = "1 long running of 8 cores";
-/** The number of the job that fills a worker. */
-export const fillingIds = 9_101;
+/** A job that fills one worker for good, so that no other task fits on it. */
+export const workerFillingShape = "1 long running of 8 cores";
+/** Number of the job that fills a worker. */
+export const workerFillingJobNumber = 9_101;
--- a/packages/stand-ins/src/shard/link.ts
+++ b/packages/stand-ins/src/shard/link.ts
@@ -1,93 +1,99 @@
-/** A VM's network link on a fake clock: all that comes over it at once shares its rate, and small messages wait behind what is queued. */
+/**
+ * Simulation of a VM's network link on a fake clock. Concurrent transfers share its rate equally, and small messages wait behind
+ * the queued bytes of the transfers.
+ */
 
 import type { Clock } from "puffinarch";
 
-/** Bytes on their way. */
+/** Bytes that are being sent over a link. */
 export interface Transfer {
-    /** Resolves once the last byte has come. */
+    /** Resolves when the last byte has arrived; never after `cancel`. */
     readonly done: Promise<void>;
-    /** Nothing more of it is sent. */
+    /** Stops sending. */
     cancel(): void;
 }
 
-/** A link. */
+/** A simulated link. */
 export interface Link {
-    carry(bytes: number): Transfer;
-    /** How long a message of a few bytes waits behind the others' packets. */
-    queueMs(): number;
+    send(bytes: number): Transfer;
+    /** How long a message of a few bytes waits behind the packets of the transfers. */
+    queueDelayMs(): number;
 }
 
-/** What each transfer has in the queue of a link that is full. */
+/** Bytes that one transfer has in the queue of a saturated link, like a TCP window. */
 const windowBytes = 64_000;
 
-interface Share {
-    leftBytes: number;
+interface ActiveTransfer {
+    remainingBytes: number;
     readonly finish: () => void;
 }
 
 /**
- * Makes a link that carries so many bytes in a millisecond.
+ * Creates a link with the given rate.
  *
  * @example
  * const link = createLink(clock, 1_250);
- * await link.carry(5_000).done; // after 4 ms
+ * await link.send(5_000).done; // after 4 ms
  */
 export const createLink = (clock: Clock, bytesPerMs: number): Link => {
-    const shares = new Set<Share>();
-    let countedAtMs = clock.monotonicMs();
+    const activeTransfers = new Set<ActiveTransfer>();
+    let updatedAtMs = clock.monotonicMs();
     let cancelTimer = (): void => {};
 
-    /** Takes off what was carried since the last change. */
-    const count = (): void => {
+    /** Subtracts the bytes that were sent since the last update. */
+    const updateRemaining = (): void => {
         const nowMs = clock.monotonicMs();
-        const each = (nowMs - countedAtMs) * bytesPerMs / Math.max(1, shares.size);
-        for (const share of shares) {
-            share.leftBytes -= each;
+        const bytesEach = (nowMs - updatedAtMs) * bytesPerMs / Math.max(1, activeTransfers.size);
+        for (const transfer of activeTransfers) {
+            transfer.remainingBytes -= bytesEach;
         }
-        countedAtMs = nowMs;
+        updatedAtMs = nowMs;
     };
 
-    const plan = (): void => {
+    const scheduleCompletion = (): void => {
         cancelTimer();
-        if (shares.size === 0) {
+        if (activeTransfers.size === 0) {
             return;
         }
-        const least = Math.min(...[...shares].map(({ leftBytes }) => leftBytes));
-        cancelTimer = clock.setTimer(Math.max(0, least) * shares.size / bytesPerMs, () => {
-            count();
-            for (const share of [...shares]) {
-                // Fractions of a byte are left by the division.
-                if (share.leftBytes < 1) {
-                    shares.delete(share);
-                    share.finish();
+        const smallestBytes = Math.min(...[...activeTransfers].map(({ remainingBytes }) => remainingBytes));
+        cancelTimer = clock.setTimer(Math.max(0, smallestBytes) * activeTransfers.size / bytesPerMs, () => {
+            updateRemaining();
+            for (const transfer of [...activeTransfers]) {
+                // The division leaves fractions of a byte.
+                if (transfer.remainingBytes < 1) {
+                    activeTransfers.delete(transfer);
+                    transfer.finish();
                 }
             }
-            plan();
+            scheduleCompletion();
         });
     };
 
     return {
-        carry: bytes => {
-            count();
+        send: bytes => {
+            updateRemaining();
             let finish = (): void => {};
             const done = new Promise<void>(resolve => {
                 finish = resolve;
             });
-            const share = { leftBytes: bytes, finish };
-            shares.add(share);
-            plan();
+            const transfer = { remainingBytes: bytes, finish };
+            activeTransfers.add(transfer);
+            scheduleCompletion();
             return {
                 done,
                 cancel: () => {
-                    count();
-                    shares.delete(share);
-                    plan();
+                    updateRemaining();
+                    activeTransfers.delete(transfer);
+                    scheduleCompletion();
                 },
             };
         },
-        queueMs: () => {
-            count();
-            const queued = [...shares].reduce((sum, { leftBytes }) => sum + Math.min(windowBytes, leftBytes), 0);
+        queueDelayMs: () => {
+            updateRemaining();
+            const queued = [...activeTransfers].reduce(
+                (sum, { remainingBytes }) => sum + Math.min(windowBytes, remainingBytes),
+                0,
+            );
             return queued / bytesPerMs;
         },
     };
--- a/packages/stand-ins/src/shard/powerLoss.ts
+++ b/packages/stand-ins/src/shard/powerLoss.ts
@@ -1,4 +1,4 @@
-/** Seeded runs in which all daemons of a large cell lose power, and the store and single daemons fail while they come back. */
+/** Seeded runs in which all daemons of a large cell lose power, and the store and single daemons fail during the restart. */
 
 import { createSeededRandom } from "puffinarch";
 import { jobIdOf, readSteps } from "./jobShapes.js";
@@ -6,34 +6,35 @@
 import { createShardCell, otherQueues, type ShardCell, testQueue } from "./shardCell.js";
 import { shardFaults } from "./shardFaults.js";
 
-/** What a run showed. */
+/** Result of a run. */
 export interface PowerLossOutcome {
-    /** From the last fault to the first owner, and to the first acceptance; undefined where none came. */
+    /** From the last fault until the shard had an owner; undefined where it got none within the limit. */
     readonly ownerAfterMs: number | undefined;
+    /** From the last fault until a job submitted then was accepted; undefined where it was not within the limit. */
     readonly acceptedAfterMs: number | undefined;
-    /** From the last fault until every daemon took callers; undefined where some did not. */
+    /** From the last fault until every daemon was ready for callers; undefined where some were not within the limit. */
     readonly readyAfterMs: number | undefined;
-    /** Broken promises. */
+    /** Violations of the scheduler's guarantees. */
     readonly breaches: readonly string[];
-    /** What failed, and when after the VMs were back. */
+    /** The faults, each with its time in milliseconds after the power was back. */
     readonly faults: readonly string[];
 }
 
 const daemons = 32;
 const workers = 350;
-/** Each fifth VM is strong; links in bytes a ms. */
+/** Every fifth VM is strong: it has the full strength and a faster link. */
 const strongEvery = 5;
-const strongLink = 25_000;
-const weakLink = 1_250;
+const strongLinkBytesPerMs = 25_000;
+const weakLinkBytesPerMs = 1_250;
 const weakStrength = 0.2;
-const powerlessMs = 2_700;
+const outageMs = 2_700;
 const faultsForMs = 5_000;
 const stepMs = 50;
 const restartMs = 700;
-const watchedMs = 30_000;
-const storeFaultsUsed: readonly StoreFault[] = ["none", "slow", "refuse", "hang", "loseReply", "late"];
+const recoveryLimitMs = 30_000;
+const drawnStoreFaults: readonly StoreFault[] = ["none", "slow", "refuse", "hang", "loseReply", "late"];
 
-interface Comeback {
+interface PlannedRestart {
     readonly memberId: string;
     atMs: number;
     done: boolean;
@@ -55,15 +56,15 @@
     }
     await cell.clock.advance(3_000);
     for (const [index, memberId] of cell.memberIds().entries()) {
-        cell.store.setLink(memberId, isStrong(index) ? strongLink : weakLink);
+        cell.store.setLink(memberId, isStrong(index) ? strongLinkBytesPerMs : weakLinkBytesPerMs);
     }
     return cell;
 };
 
-/** The time until something holds, in steps; undefined where it never does. */
-const timeUntil = async (cell: ShardCell, fromMs: number, holds: () => boolean): Promise<number | undefined> => {
-    while (!holds()) {
-        if (cell.clock.monotonicMs() - fromMs > watchedMs) {
+/** Advances time until a condition holds and returns the time since `fromMs`; undefined where it does not within the limit. */
+const timeUntil = async (cell: ShardCell, fromMs: number, condition: () => boolean): Promise<number | undefined> => {
+    while (!condition()) {
+        if (cell.clock.monotonicMs() - fromMs > recoveryLimitMs) {
             return undefined;
         }
         await cell.clock.advance(stepMs);
@@ -72,7 +73,7 @@
 };
 
 /**
- * Plays one seed on a cell of its own, whose configuration has so many queues that nobody uses.
+ * Runs one seed on a new cell whose configuration has the given number of unused queues.
  *
  * @example
  * const { acceptedAfterMs } = await explorePowerLoss(7);
@@ -82,75 +83,75 @@
     const cell = await createLargeCell(seed, queues);
     const faults: string[] = [];
     shardFaults["all killed"]?.(cell);
-    await cell.clock.advance(powerlessMs);
-    const comebacks: Comeback[] = cell.memberIds().map(memberId => ({
+    await cell.clock.advance(outageMs);
+    const plannedRestarts: PlannedRestart[] = cell.memberIds().map(memberId => ({
         memberId,
         atMs: random.next() < 0.1 ? 500 + 4_000 * random.next() : 300 * random.next(),
         done: false,
     }));
-    let hit: string | undefined;
+    let faultyMemberId: string | undefined;
     let faultEndsMs = 0;
 
-    const mendHit = (): void => {
-        if (hit !== undefined) {
-            cell.store.setFault("none", hit);
+    const clearMemberFault = (): void => {
+        if (faultyMemberId !== undefined) {
+            cell.store.setFault("none", faultyMemberId);
         }
-        hit = undefined;
+        faultyMemberId = undefined;
     };
 
-    const nextFault = (atMs: number): void => {
-        const fault = storeFaultsUsed[Math.floor(random.next() * storeFaultsUsed.length)] ?? "none";
+    const drawFault = (atMs: number): void => {
+        const fault = drawnStoreFaults[Math.floor(random.next() * drawnStoreFaults.length)] ?? "none";
         faultEndsMs = atMs + 300 + 2_000 * random.next();
-        mendHit();
+        clearMemberFault();
         if (random.next() < 0.3) {
-            hit = cell.owner() ?? `entry-${Math.floor(random.next() * daemons)}`;
-            cell.store.setFault(fault, hit);
+            faultyMemberId = cell.owner() ?? `entry-${Math.floor(random.next() * daemons)}`;
+            cell.store.setFault(fault, faultyMemberId);
             cell.store.setFault("none");
         }
         else {
             cell.store.setFault(fault);
         }
-        faults.push(`${atMs} ${fault} for ${hit ?? "all"}`);
+        faults.push(`${atMs} ${fault} for ${faultyMemberId ?? "all"}`);
     };
 
     const killOwner = (atMs: number): void => {
         const owner = cell.owner();
-        const comeback = comebacks.find(each => each.memberId === owner);
-        if (owner !== undefined && comeback !== undefined) {
+        const planned = plannedRestarts.find(each => each.memberId === owner);
+        if (owner !== undefined && planned !== undefined) {
             cell.kill(owner);
-            Object.assign(comeback, { done: false, atMs: atMs + restartMs });
+            Object.assign(planned, { done: false, atMs: atMs + restartMs });
             faults.push(`${atMs} killed ${owner}`);
         }
     };
 
     for (let atMs = 0; atMs < faultsForMs; atMs += stepMs) {
-        for (const comeback of comebacks.filter(each => !each.done && each.atMs <= atMs)) {
-            cell.restart(comeback.memberId);
-            comeback.done = true;
+        for (const planned of plannedRestarts.filter(each => !each.done && each.atMs <= atMs)) {
+            cell.restart(planned.memberId);
+            planned.done = true;
         }
         if (atMs >= faultEndsMs) {
-            nextFault(atMs);
+            drawFault(atMs);
         }
         if (random.next() < 0.01) {
             killOwner(atMs);
         }
         await cell.clock.advance(stepMs);
     }
-    for (const { memberId } of comebacks) {
+    for (const { memberId } of plannedRestarts) {
         cell.restart(memberId);
     }
-    mendHit();
-    const last: StoreFault = random.next() < 0.5 ? "none" : "slow";
-    cell.store.setFault(last);
-    faults.push(`${faultsForMs} ${last} from then on`);
-    const endedAtMs = cell.clock.monotonicMs();
+    clearMemberFault();
+    const lastingFault: StoreFault = random.next() < 0.5 ? "none" : "slow";
+    cell.store.setFault(lastingFault);
+    faults.push(`${faultsForMs} ${lastingFault} from then on`);
+    const faultsEndedAtMs = cell.clock.monotonicMs();
     const jobId = jobIdOf(9_999);
     cell.submit(jobId, readSteps("1"));
-    const ownerAfterMs = await timeUntil(cell, endedAtMs, () => cell.owner() !== undefined);
-    const acceptedAfterMs = await timeUntil(cell, endedAtMs, () => cell.answers().get(jobId) === "accepted");
+    const ownerAfterMs = await timeUntil(cell, faultsEndedAtMs, () => cell.owner() !== undefined);
+    const acceptedAfterMs = await timeUntil(cell, faultsEndedAtMs, () => cell.answers().get(jobId) === "accepted");
     const readyAfterMs = await timeUntil(
         cell,
-        endedAtMs,
+        faultsEndedAtMs,
         () => cell.memberIds().every(memberId => cell.member(memberId)?.ready() === true),
     );
     return { ownerAfterMs, acceptedAfterMs, readyAfterMs, breaches: cell.breaches(), faults };
--- a/packages/stand-ins/src/shard/processor.ts
+++ b/packages/stand-ins/src/shard/processor.ts
@@ -1,25 +1,25 @@
-/** The processor of a daemon's VM on a fake clock: it does one thing at a time, and what comes meanwhile waits its turn. */
+/** Simulation of the processor of a daemon's VM on a fake clock: a queue that does one piece of work at a time, in order. */
 
 import type { Clock, FencedWorkerPort } from "puffinarch";
 
-/** What a daemon's work costs its processor, in milliseconds. */
+/** Processor time that a daemon's work takes. */
 export interface ProcessorCosts {
-    /** Answer to the first look at a worker, with its new connection and all that runs there. */
+    /** To read the answer to the first look at a worker, with a new connection and all of the worker's runs. */
     readonly firstLookMs: number;
-    /** Answer to each later look. */
+    /** To read the answer to each later look. */
     readonly lookMs: number;
-    /** Call of a peer. */
+    /** To handle the call of a peer. */
     readonly callMs: number;
 }
 
-/** A processor. */
+/** A simulated processor. */
 export interface Processor {
-    /** Resolves once all that came before, and this, are done. */
+    /** Queues work that takes `costMs`; resolves when it and all earlier work are done. */
     use(costMs: number): Promise<void>;
 }
 
 /**
- * Makes the processor of one process.
+ * Creates the processor of one daemon process.
  *
  * @example
  * const processor = createProcessor(clock);
@@ -40,8 +40,8 @@
 };
 
 /**
- * Lets answers to looks take processor time; one that is read too late counts as none, though the worker has carried the
- * look out.
+ * Wraps a worker port so that reading the answers to looks takes processor time. An answer that is read after the look's timeout
+ * becomes `unknown`, although the worker has carried the look out.
  *
  * @example
  * const port = withProcessor(workers.connect(), { clock, processor, costs });
@@ -54,7 +54,7 @@
         readonly costs: ProcessorCosts;
     },
 ): FencedWorkerPort => {
-    const seen = new Set<string>();
+    const connectedWorkers = new Set<string>();
     return {
         ...port,
         look: async (target, order) => {
@@ -63,21 +63,21 @@
             if (answer.outcome !== "done") {
                 return answer;
             }
-            await processor.use(seen.has(target.workerId) ? costs.lookMs : costs.firstLookMs);
-            seen.add(target.workerId);
-            const late = clock.monotonicMs() - sentAtMs > order.waitMs + order.patienceMs;
-            return late ? { outcome: "unknown" } : answer;
+            await processor.use(connectedWorkers.has(target.workerId) ? costs.lookMs : costs.firstLookMs);
+            connectedWorkers.add(target.workerId);
+            const isLate = clock.monotonicMs() - sentAtMs > order.waitMs + order.patienceMs;
+            return isLate ? { outcome: "unknown" } : answer;
         },
     };
 };
 
 /**
- * Lets the timers of a process wait behind what its processor has to do, as those of an event loop do.
+ * Wraps a clock so that its timers run after the work that the processor has queued, as in an event loop.
  *
  * @example
- * const late = withLateTimers(clock, createProcessor(clock));
+ * const delayed = withQueuedTimers(clock, createProcessor(clock));
  */
-export const withLateTimers = (clock: Clock, processor: Processor): Clock => ({
+export const withQueuedTimers = (clock: Clock, processor: Processor): Clock => ({
     ...clock,
     setTimer: (delayMs, run) => {
         let cancelled = false;
--- a/packages/stand-ins/src/shard/rowStore.ts
+++ b/packages/stand-ins/src/shard/rowStore.ts
@@ -1,4 +1,7 @@
-/** A stand-in for the platform's store of rows: conditions, a feed whose history can be lost, and faults on a clock. */
+/**
+ * In-memory fake of the platform's row store on a fake clock: conditional transactions, a change feed whose history can be lost,
+ * and injected faults.
+ */
 
 import {
     type Clock,
@@ -13,58 +16,65 @@
 } from "puffinarch";
 import { createLink, type Link } from "./link.js";
 
-/** What can be wrong with the store. `late`: a transaction is carried out two seconds after, without an answer. */
+/**
+ * Faults of the store. `refuse`: every call is refused. `hang`: calls get no answer and have no effect. `loseReply`: transactions
+ * are carried out without an answer. `late`: the same, but two seconds later. `slow`: answers take longer, and transactions queue.
+ */
 export const storeFaults = ["none", "refuse", "hang", "loseReply", "late", "slow"] as const;
 /** One of `storeFaults`. */
 export type StoreFault = (typeof storeFaults)[number];
 
-/** The stand-in, with one connection for each daemon. */
+/** The fake store with its connections and fault injection. */
 export interface FakeRowStore {
-    /** The store as one daemon reaches it. */
+    /** Creates the connection of one daemon. */
     connect(memberId: string): RowStore;
-    /** For one daemon, or for all. */
+    /** Sets the fault for one daemon, which takes precedence, or for all daemons that have none of their own. */
     setFault(fault: StoreFault, memberId?: string): void;
-    /** Whether nothing is wrong with it for anyone. */
-    isSound(): boolean;
-    /** Whether reads of a table get no answer, all others being answered. */
+    /** Whether no fault is set for any daemon and every table is readable. */
+    isFaultFree(): boolean;
+    /** Sets whether reads of a table get no answer; reads of other tables are not affected. */
     setUnreadable(table: string, unreadable: boolean): void;
-    /** Bytes that a daemon's link to the store carries in a millisecond; unlimited before. */
+    /** Limits a daemon's link to the store, which is unlimited at first. */
     setLink(memberId: string, bytesPerMs: number): void;
-    /** A daemon's link; undefined where it carries all at once. */
+    /** A daemon's link; undefined where it is unlimited. */
     link(memberId: string): Link | undefined;
+    /** Drops the history of changes, so that feeds from an earlier version get `historyLost`. */
     forgetHistory(): void;
-    /** Connections on which a feed waits now go silent for good; later ones work. */
+    /** Leaves the feed calls that wait now without an answer until they time out; later calls work. */
     silenceFeeds(): void;
-    /** Writes any text, as another writer may. */
+    /** Writes a row with any text as its value. */
     putText(row: RowKey & { readonly value: string; }): void;
-    /** Writes as the platform does. */
+    /** Writes a value as JSON into the part with the empty name, as the platform does. */
     put(table: string, key: string, value: unknown): void;
+    /** Removes a row from the part with the empty name. */
     remove(table: string, key: string): void;
     rows(table: string): readonly Row[];
+    /** Number of transactions that were applied or failed with a conflict. */
     transactions(): number;
 }
 
 const answerMs = 4;
 const slowAnswerMs = 240;
-/** A part carries out one transaction after another, and refuses more once a second of them waits. */
+/** With the fault `slow`, transactions run one after another; more are refused once the queue is `longestQueueMs` long. */
 const slowTransactionMs = 110;
 const longestQueueMs = 1_000;
 const hangMs = 1_500;
-/** How long after its longest wait a daemon gives a feed up. */
+/** How long after the wait of a feed call its caller gives up. */
 const feedSlackMs = 1_000;
 const lateMs = 2_000;
 const pageRows = 500;
-/** How long a daemon waits for a read that does not say otherwise, and for the end of changes that have begun to come. */
+/** Default timeout of a read. */
 const readTimeoutMs = 1_000;
-const longestChangesMs = 20_000;
-/** Values are base64 on the wire. */
-const wireFactor = 4 / 3;
+/** How long a daemon waits for the rest of a page of changes that has begun to arrive. */
+const changesTimeoutMs = 20_000;
+/** Growth of a value by its base64 encoding on the wire. */
+const base64Factor = 4 / 3;
 
 const idOf = ({ table, part, key }: { readonly table: string; readonly part: string; readonly key: string; }): string =>
     `${table}|${part}|${key}`;
 
 /**
- * Makes an empty store.
+ * Creates an empty store.
  *
  * @example
  * const store = createFakeRowStore(clock);
@@ -81,8 +91,8 @@
     const unreadable = new Set<string>();
     const links = new Map<string, Link>();
     const waiters = new Set<() => void>();
-    /** Ends the hearing of each feed that waits. */
-    const silenced = new Set<() => void>();
+    /** Callbacks that let each waiting feed call go silent. */
+    const silenceCallbacks = new Set<() => void>();
 
     const wait = (delayMs: number): Promise<void> =>
         new Promise(resolve => {
@@ -91,8 +101,8 @@
 
     const apply = ({ expect, puts, removes }: RowTransaction): RowTransactResult => {
         transactions += 1;
-        const wrong = expect.filter(each => (rows.get(idOf(each))?.version ?? 0) !== each.version);
-        if (wrong.length > 0) {
+        const conflicting = expect.filter(each => (rows.get(idOf(each))?.version ?? 0) !== each.version);
+        if (conflicting.length > 0) {
             return { outcome: "conflict", rows: expect.flatMap(each => rows.get(idOf(each)) ?? []) };
         }
         version += 1;
@@ -122,13 +132,13 @@
         },
         slow: async (transaction, timeoutMs) => {
             const nowMs = clock.monotonicMs();
-            const queuedMs = Math.max(0, freeAtMs - nowMs);
-            if (queuedMs > longestQueueMs) {
+            const queueDelayMs = Math.max(0, freeAtMs - nowMs);
+            if (queueDelayMs > longestQueueMs) {
                 await wait(answerMs);
                 return { outcome: "refused", reason: "429" };
             }
-            freeAtMs = nowMs + queuedMs + slowTransactionMs;
-            const takesMs = queuedMs + slowAnswerMs;
+            freeAtMs = nowMs + queueDelayMs + slowTransactionMs;
+            const takesMs = queueDelayMs + slowAnswerMs;
             const result = new Promise<RowTransactResult>(resolve => {
                 clock.setTimer(takesMs, () => resolve(apply(transaction)));
             });
@@ -159,7 +169,7 @@
         },
     };
 
-    const reachable = async (memberId: string): Promise<void> => {
+    const awaitStore = async (memberId: string): Promise<void> => {
         const fault = faultOf(memberId);
         await wait(fault === "slow" ? slowAnswerMs : fault === "hang" ? hangMs : answerMs);
         if (fault === "hang" || fault === "refuse") {
@@ -167,15 +177,15 @@
         }
     };
 
-    const carry = async (memberId: string, page: readonly Row[], withinMs: number): Promise<void> => {
+    const transferPage = async (memberId: string, page: readonly Row[], withinMs: number): Promise<void> => {
         const bytes = page.reduce((sum, row) => sum + (row.value?.length ?? 0), 0);
-        const transfer = links.get(memberId)?.carry(wireFactor * bytes);
-        const came = transfer?.done.then(() => true) ?? true;
-        if (await Promise.race([came, wait(withinMs).then(() => false)])) {
+        const transfer = links.get(memberId)?.send(base64Factor * bytes);
+        const transferred = transfer?.done.then(() => true) ?? true;
+        if (await Promise.race([transferred, wait(withinMs).then(() => false)])) {
             return;
         }
         transfer?.cancel();
-        die("unavailable", "the page did not come in time");
+        die("unavailable", "the page did not arrive in time");
     };
 
     const changesOf = (table: string, after: number): readonly Row[] =>
@@ -185,7 +195,7 @@
         connect: memberId => ({
             transact: (transaction, timeoutMs) => transactHandlers[faultOf(memberId)](transaction, timeoutMs),
             read: async (table, part, fromKey, limit = pageRows, longestMs = readTimeoutMs) => {
-                await reachable(memberId);
+                await awaitStore(memberId);
                 if (unreadable.has(table)) {
                     await wait(readTimeoutMs);
                     die("unavailable", "the read was not answered");
@@ -195,11 +205,11 @@
                     .sort((left, right) => left.key < right.key ? -1 : 1);
                 const page = all.slice(0, Math.min(limit, pageRows));
                 const readVersion = version;
-                await carry(memberId, page, longestMs);
+                await transferPage(memberId, page, longestMs);
                 return { rows: page, more: all.length > page.length, version: readVersion };
             },
             changes: async (table, after, waitMs): Promise<RowChanges> => {
-                await reachable(memberId);
+                await awaitStore(memberId);
                 if (after < historyStart) {
                     return { kind: "historyLost" };
                 }
@@ -213,12 +223,12 @@
                         const end = (): void => {
                             cancel();
                             waiters.delete(wake);
-                            silenced.delete(giveUp);
+                            silenceCallbacks.delete(goSilent);
                             resolve();
                         };
-                        const giveUp = (): void => {
+                        const goSilent = (): void => {
                             waiters.delete(wake);
-                            silenced.delete(giveUp);
+                            silenceCallbacks.delete(goSilent);
                             clock.setTimer(
                                 waitMs + feedSlackMs,
                                 () => reject(errorOf({ kind: "unavailable", message: "the feed went silent" })),
@@ -227,24 +237,24 @@
                         };
                         const cancel = clock.setTimer(waitMs, end);
                         waiters.add(wake);
-                        silenced.add(giveUp);
+                        silenceCallbacks.add(goSilent);
                     });
-                    await reachable(memberId);
+                    await awaitStore(memberId);
                 }
                 if (after < historyStart) {
-                    // What changed before the history was lost would be missing.
+                    // The history was lost during the wait, so changes from before would be missing.
                     return { kind: "historyLost" };
                 }
                 const changed = changesOf(table, after);
                 const readVersion = version;
-                await carry(memberId, changed, longestChangesMs);
+                await transferPage(memberId, changed, changesTimeoutMs);
                 return { kind: "changes", rows: changed, version: readVersion };
             },
         }),
         setFault: (fault, memberId = "") => {
             faults.set(memberId, fault);
         },
-        isSound: () => unreadable.size === 0 && [...faults.values()].every(fault => fault === "none"),
+        isFaultFree: () => unreadable.size === 0 && [...faults.values()].every(fault => fault === "none"),
         setUnreadable: (table, isUnreadable) => {
             if (isUnreadable) {
                 unreadable.add(table);
@@ -262,8 +272,8 @@
             historyStart = version;
         },
         silenceFeeds: () => {
-            for (const giveUp of [...silenced]) {
-                giveUp();
+            for (const goSilent of [...silenceCallbacks]) {
+                goSilent();
             }
         },
         putText: row => {
--- a/packages/stand-ins/src/shard/shardCell.ts
+++ b/packages/stand-ins/src/shard/shardCell.ts
@@ -1,4 +1,7 @@
-/** Several daemons of a cell in one process on a fake clock, with links that can be cut and daemons that can be killed. */
+/**
+ * A cell with one shard in a single process on a fake clock: several daemons, whose links can be cut and whose processes can be
+ * killed, with fakes of the workers, the row store, the advisor and the VM calls.
+ */
 
 import {
     add,
@@ -39,17 +42,17 @@
 import { createFakeClock, type FakeClock } from "../cell/fakeClock.js";
 import { quietMeter } from "../quiet.js";
 import { breakShardPart, type BrokenShardPart } from "./brokenShardParts.js";
-import { createCalm } from "./calm.js";
+import { createFaultTracker } from "./calm.js";
 import { capBreaches, type CapVersion, isUnderHalf } from "./capCheck.js";
 import { createFakeVms, type FakeVms } from "./fakeVms.js";
-import { breachesOf, createFakeFencedWorkers, type FakeFencedWorkers, ticketFor } from "./fencedWorkers.js";
+import { findBreaches, createFakeFencedWorkers, type FakeFencedWorkers, ticketFor } from "./fencedWorkers.js";
 import type { Transfer } from "./link.js";
-import { createProcessor, type Processor, type ProcessorCosts, withLateTimers, withProcessor } from "./processor.js";
+import { createProcessor, type Processor, type ProcessorCosts, withProcessor, withQueuedTimers } from "./processor.js";
 import { createFakeRowStore, type FakeRowStore } from "./rowStore.js";
-import { standingTasks } from "./standing.js";
+import { findStalledTasks } from "./standing.js";
 import { createSuspension, type Suspension } from "./suspension.js";
 
-/** The queue that the cell's configuration has. */
+/** The queue of the cell's configuration, unless the options name others. */
 export const testQueue: Queue = {
     key: "stages.example/plans/",
     host: "stages.example",
@@ -63,7 +66,7 @@
     advice: { decideMs: 20, eachMs: 1, validMs: 2_500 },
 };
 
-/** So many queues that nobody uses, each with some 240 bytes in the configuration. */
+/** Returns `count` queues that no job uses; each takes about 240 bytes in the configuration. */
 export const otherQueues = (count: number): readonly Queue[] =>
     Array.from({ length: count }, (_, index) => ({
         ...testQueue,
@@ -71,7 +74,7 @@
         pathPrefix: `/others/${index}/`,
     }));
 
-/** A step of one plain task, to be changed in part. */
+/** A step with one task and no special demands, as a base for other steps. */
 export const plainStep: Step = {
     count: 1,
     size: { cpuMillis: 1_000, memoryMib: 100, accelerators: 0 },
@@ -91,12 +94,13 @@
     mayMiss: 0,
 };
 
-/** The cell. */
+/** The cell with its fakes, fault injection and checks. */
 export interface ShardCell {
     readonly clock: FakeClock;
     readonly store: FakeRowStore;
     readonly workers: FakeFencedWorkers;
     readonly vms: FakeVms;
+    /** The log lines of all daemons. */
     readonly log: readonly {
         readonly memberId: string;
         readonly event: string;
@@ -104,61 +108,71 @@
     }[];
     memberIds(): readonly string[];
     member(memberId: string): CellMember | undefined;
+    /** The daemon that owns the shard; undefined where none does. */
     owner(): string | undefined;
+    /** Submits a job through one daemon after another until it is accepted. */
     submit(jobId: string, steps: readonly Step[], queueKey?: string): void;
-    /** Submits for a caller of an organisation. */
+    /** As `submit`, for a caller of an organisation. */
     submitFor(organisation: string, jobId: string, steps: readonly Step[], queueKey?: string): void;
-    /** Submits through one daemon and never again; the answer, or the kind of its failure, is among the answers. */
+    /** Submits a job once through one daemon; `answers` then has "accepted" or the kind of the error. */
     submitOnce(jobId: string, steps: readonly Step[], memberId?: string, organisation?: string): void;
-    /** Acceptances and refusals so far, by job. */
+    /** The latest answer to each submission by job: "accepted", "refused" or the kind of an error. */
     answers(): ReadonlyMap<string, string>;
+    /** Ends a daemon's process without a shutdown. */
     kill(memberId: string): void;
+    /** Starts a daemon's process where it does not run. */
     restart(memberId: string): void;
+    /** Shuts a daemon down gracefully. */
     stop(memberId: string): Promise<void>;
-    /** Suspends a daemon's VM for a while, which its steady clock does not count. */
+    /** Suspends a daemon's VM; its monotonic clock does not count the time. */
     suspend(memberId: string, forMs: number): void;
-    /** Cuts a daemon off from its peers, the store and the workers, or mends all of it. */
+    /** Cuts a daemon off from its peers, the store or the workers. */
     cut(memberId: string, what: readonly ("peers" | "store" | "workers")[]): void;
+    /** Restores all links of a daemon. */
     mend(memberId: string): void;
-    /** Whether the daemon's process is there, cut off or not. */
+    /** Whether the daemon's process runs, cut off or not. */
     isRunning(memberId: string): boolean;
     isCut(memberId: string, what: "peers" | "store" | "workers"): boolean;
-    /** Puts the configuration in force under a new version, with these organisations where they change. */
+    /** Writes a new version of the configuration; the organisations stay as they are where they are left out. */
     configure(version: number, organisations?: readonly Organisation[]): void;
-    /** The organisations of the newest version. */
+    /** The organisations of the newest version of the configuration. */
     organisations(): readonly Organisation[];
-    /** The newest version. */
+    /** The newest version of the configuration. */
     version(): number;
-    /** The operator asks for a wave of upkeep. */
+    /** Writes the operator's request for a wave of upkeep. */
     askUpkeep(wave: UpkeepWave): void;
+    /** Removes the request for a wave of upkeep. */
     withdrawUpkeep(wave: number): void;
-    /** State of a wave as the operator is shown it. */
+    /** State of a wave as written for the operator; undefined where none was written. */
     waveState(wave: number): string | undefined;
+    /** Writes the entries of all workers to the platform's table. */
     listWorkers(): void;
+    /** Removes a worker's entry from the platform's table. */
     unlist(workerId: string): void;
-    /** Workers go down at once, for a cause that is not their tasks', and are back at their addresses as other incarnations. */
+    /** Crashes workers for a reason that is not one of their tasks; they come back at their addresses as new incarnations. */
     crashWorkers(workerIds: readonly string[]): void;
-    /** Workers have this share of their usual capacity from now on, and say so with their next heartbeats. */
+    /** Sets the capacity of workers to a share of the usual one; their entries change with the next heartbeats. */
     resize(workerIds: readonly string[], share: number): void;
-    /** The worker says that it leaves, after this time at the least. */
+    /** Marks a worker's entry as draining; it leaves after `remainingMs` at the earliest. */
     drain(workerId: string, remainingMs: number): void;
-    /** Calls that each daemon has sent to its peers and taken from them so far. */
+    /** Calls that each daemon has sent to its peers and received from them so far. */
     peerCalls(): ReadonlyMap<string, PeerCalls>;
-    /** Moves time until a condition holds; fails after the limit. */
+    /** Advances time until a condition holds; resolves with false if it does not within the limit. */
     until(holds: () => boolean | Promise<boolean>, limitMs: number): Promise<boolean>;
-    /** State of each job as the owner shows it; moves time a little. */
+    /** State of each job as the owner reports it; advances time by some milliseconds. */
     statesOf(jobIds: readonly string[]): Promise<ReadonlyMap<string, string | undefined>>;
+    /** Violations of the scheduler's guarantees so far, one line each. */
     breaches(): readonly string[];
     /**
-     * Accepted tasks that neither run nor have ended although their turn has come and workers with room answer; only those
-     * with room for so many of them, where a number is given.
+     * Names of the stalled tasks: accepted, with the steps they depend on done, neither running nor done although workers have
+     * room for them. With `roomFactor`, only those of which that many would fit.
      */
-    standing(times?: number): readonly string[];
-    /** When the last fault was over, as a scene or a crash brought it; undefined while one lasts. */
-    calmSinceMs(): number | undefined;
-    /** The step of a task that was submitted. */
+    standing(roomFactor?: number): readonly string[];
+    /** Monotonic time at which the last fault ended, whether a test or a crashing task caused it; undefined while one lasts. */
+    faultFreeSinceMs(): number | undefined;
+    /** The step of a submitted task. */
     stepOf(taskName: string): Step | undefined;
-    /** When the shard's present owner claimed it, or the last one. */
+    /** Monotonic time of the latest claim of the shard. */
     claimedAtMs(): number;
 }
 
@@ -168,49 +182,50 @@
     readonly taken: number;
 }
 
-/** What a cell is made of. */
+/** Options of a cell. */
 export interface ShardCellOptions {
     readonly members: number;
     readonly workers: number;
     readonly seed: number;
-    /** Share of runs that fail. */
+    /** Probability that the first run of a task fails; 1 lets every run fail. */
     readonly failOften?: number;
-    /** Mean length of a run; "estimated" for the estimates of the steps, off by a fifth at most. */
+    /** Mean duration of a run; "estimated" takes the estimates of the steps, with a deviation of at most a fifth. */
     readonly durationMs?: number | "estimated";
-    /** Of each worker. */
+    /** Capacity of each worker. */
     readonly capacity?: Resources;
     readonly queues?: readonly Queue[];
-    /** Callers are not told apart where it is left out. */
+    /** Callers are not distinguished where this is left out. */
     readonly organisations?: readonly Organisation[];
     readonly policies?: ShardPolicies;
-    /** Of the daemons' VMs; 1 where it is left out. */
+    /** Strengths of the daemons' VMs in the order of the daemons; 1 where one is left out. */
     readonly strengths?: readonly number[];
-    /** Whether the calls for VMs refuse a lower fencing token than they have seen. */
+    /** Whether VM calls with a lower fencing token than the VM has seen are refused. */
     readonly checksVmTokens?: boolean;
-    /** Whether the members of a gang work and end with each other, as users' workers have it; each by itself where it is left out. */
+    /** Whether the members of a gang start work and end together, as on the users' workers; independent where this is left out. */
     readonly breaksGangs?: boolean;
     /** Whether the advisor allows a step on a worker. */
     readonly isGood?: (stepName: string, workerId: string) => boolean;
-    /** How long a worker that crashed is away; as users saw it where it is left out. */
+    /** How long a crashed worker is down; as observed by users where this is left out. */
     readonly crashedDownMs?: number | undefined;
-    /** Whether a worker that crashed, or had its upkeep, starts again under its ID; it has another one where it is left out. */
+    /** Whether a worker restarts under the same ID after a crash or upkeep; under a new one where this is left out. */
     readonly keepsIds?: boolean | undefined;
-    /** Whether workers refuse tickets of other incarnations; where they do not, orders for one incarnation can be carried out by the next. */
+    /** Whether workers refuse tickets of other incarnations; otherwise a later incarnation can carry out orders for an earlier one. */
     readonly checksTickets?: boolean;
-    /** Of workers that have started again; as before where it is left out. */
+    /** Capacity of restarted workers that keep their IDs; the usual one where this is left out. */
     readonly nextCapacity?: Resources;
-    /** What the daemons' work costs their processors; nothing where it is left out. */
+    /** Processor time that the daemons' work takes; none where this is left out. */
     readonly costs?: ProcessorCosts;
-    /** A part of every daemon's surroundings that is broken on purpose. */
+    /** A deliberate defect in every daemon's dependencies. */
     readonly broken?: BrokenShardPart | undefined;
 }
 
-/** One incarnation of a daemon's process. */
+/** One incarnation of a daemon's process; `alive` becomes false when it ends. */
 interface Incarnation {
     alive: boolean;
 }
 
-interface Seat {
+/** A daemon's newest process. */
+interface MemberProcess {
     readonly member: CellMember;
     readonly handlers: MemberHandlers;
     readonly incarnation: Incarnation;
@@ -220,39 +235,42 @@
 
 /** Images whose tasks crash each worker that starts them: all tasks of a step, or its first one. */
 export const crashingImages = { all: "crashes", first: "crashes-first" } as const;
-/** Images whose tasks fail by themselves: in each run, or in the first two; all tasks of a step, or its first one. */
+/** Images whose tasks fail by themselves, in every run or in the first two: all tasks of a step, or its first one. */
 export const failingImages = {
     all: "fails",
     first: "fails-first",
     allTwice: "fails-twice",
     firstTwice: "fails-first-twice",
 } as const;
-const failsInRuns = 2;
-/** When a run fails by itself, as a share of its time: before any member of its gang has ended. */
-const failsAtShare = 0.3;
-/** How long after its start such a task crashes its worker, how long the worker is down, and when its entry lapses. */
-const crashAfterMs = 10;
+/** Number of runs that fail with the images `allTwice` and `firstTwice`. */
+const temporaryFailureRuns = 2;
+/** When a run with one of `failingImages` fails, as a share of its duration; no other member of its gang has ended by then. */
+const failureAtShare = 0.3;
+/** From the start of a task with one of `crashingImages` until it crashes its worker. */
+const taskCrashDelayMs = 10;
+/** How long a crashed worker is down by default. */
 const usualDownMs = 3_300;
-const entryLapsesMs = 4_500;
-/** The longest time from a change at a worker to its next heartbeat. */
+/** From a worker's crash until the platform removes its entry. */
+const entryRemovalMs = 4_500;
+/** The longest time from a change of a worker to its next heartbeat. */
 const heartbeatMs = 1_500;
 
-/** Key prefix of the rows with the jobs' states, and the states of jobs that go on. */
+/** Key prefix of the rows with the jobs' states, and the states of jobs that have not ended. */
 const stateKeyPrefix = "state/";
 const openStates: ReadonlySet<string> = new Set([jobStates.queued, jobStates.running]);
 const isObjectWith = (value: unknown, field: string, type: string): boolean =>
     typeof value === "object" && value !== null && typeof (value as Record<string, unknown>)[field] === type;
 
-const linkMs = 1;
+const linkDelayMs = 1;
 const unansweredMs = 3_000;
-const leaveMs = 4_000;
-/** The time of a caller that asks once. */
-const onceMs = 2_500;
+const leaveTimeoutMs = 4_000;
+/** Timeout of a caller that submits once. */
+const singleSubmitTimeoutMs = 2_500;
 const stateWaitMs = 10;
 const noCosts: ProcessorCosts = { firstLookMs: 0, lookMs: 0, callMs: 0 };
 const workerCapacity: Resources = { cpuMillis: 8_000, memoryMib: 16_000, accelerators: 0 };
 
-/** Rows of the fakes' operator and workers are the product's own types; what is no object of theirs cannot be read. */
+/** Rows of the fake operator and workers hold puffinarch's own types as JSON, so the schemas check only one field of each. */
 const workerSchema = z.custom<WorkerEntry>(value => isObjectWith(value, "address", "string"), "a worker");
 const configurationSchema = z.custom<CellConfiguration>(
     value => isObjectWith(value, "version", "number"),
@@ -274,7 +292,7 @@
     schedule: { startAtMs: 0, intervalMs: 0, repeatCount: 0 },
 });
 
-/** An entry in the platform's list for a worker of the cell. */
+/** Creates the platform's table entry for a worker of the cell. */
 export const workerEntry = (workerId: string, index: number, capacity = workerCapacity): WorkerEntry => ({
     workerId,
     service: testQueue.service,
@@ -287,7 +305,7 @@
 });
 
 /**
- * Starts a cell of some daemons and workers.
+ * Starts a cell with the given numbers of daemons and workers.
  *
  * @example
  * const cell = createShardCell({ members: 3, workers: 4, seed: 1 });
@@ -318,8 +336,8 @@
 ): ShardCell => {
     const clock = createFakeClock();
     const random = createSeededRandom(seed);
-    const calm = createCalm(clock, () => isDisturbed());
-    const store = calm.noting(createFakeRowStore(clock), [
+    const faultTracker = createFaultTracker(clock, () => isFaulty());
+    const store = faultTracker.recordingCalls(createFakeRowStore(clock), [
         "setFault",
         "setUnreadable",
         "setLink",
@@ -329,7 +347,7 @@
     let claimedAtMs = 0;
     const log: { memberId: string; event: string; fields: Readonly<Record<string, unknown>>; }[] = [];
     const steps = new Map<string, readonly Step[]>();
-    /** Queue of each job that was not submitted to the usual one. */
+    /** Queue key of each job that was submitted with one. */
     const queueOf = new Map<string, string>();
     /** Organisation of each job that was submitted for one. */
     const organisationOf = new Map<string, string>();
@@ -353,17 +371,17 @@
     const failsByItself = (taskName: string, run: number): boolean => {
         const image = stepOf(taskName)?.image ?? "";
         const { all, first, allTwice, firstTwice } = failingImages;
-        const isHit = image === all || image === allTwice
+        const isAffected = image === all || image === allTwice
             || (image === first || image === firstTwice) && parseTaskName(taskName)?.index === 0;
-        return isHit && (image === all || image === first || run <= failsInRuns);
+        return isAffected && (image === all || image === first || run <= temporaryFailureRuns);
     };
-    /** Workers that went down, which no list has any more. */
-    const replaced = new Set<string>();
+    /** Workers that were replaced under another ID after a crash, and are not listed again. */
+    const replacedWorkerIds = new Set<string>();
     const isListed = (workerId: string): boolean => store.rows("workers").some(({ key }) => key === workerId);
 
-    /** The worker starts again under its ID, and says so in the store with its first heartbeat, sooner or later. */
-    const startAgain = (workerId: string): void => {
-        const entry = workers.startAgain(workerId, nextCapacity ?? capacity ?? workerCapacity);
+    /** Restarts a worker under its ID; its first heartbeat writes its entry after a random delay. */
+    const restartUnderId = (workerId: string): void => {
+        const entry = workers.restart(workerId, nextCapacity ?? capacity ?? workerCapacity);
         if (entry !== undefined) {
             clock.setTimer(heartbeatMs * random.next(), () => {
                 const newest = workers.entryOf(workerId);
@@ -374,27 +392,27 @@
         }
     };
 
-    /** It is back under its ID after a while; its entry, which is that of the incarnation before, lapses if that takes long. */
-    const bringBackUnderId = ({ workerId }: WorkerEntry): void => {
-        clock.setTimer(crashedDownMs, () => startAgain(workerId));
-        clock.setTimer(entryLapsesMs, () => {
+    /** Restarts a crashed worker under its ID after its downtime; the earlier entry is removed if the worker is still down then. */
+    const scheduleReturnUnderId = ({ workerId }: WorkerEntry): void => {
+        clock.setTimer(crashedDownMs, () => restartUnderId(workerId));
+        clock.setTimer(entryRemovalMs, () => {
             if (workers.entryOf(workerId) === undefined) {
                 store.remove("workers", workerId);
             }
         });
     };
 
-    /** A worker that was crashed is back at its address after a while, and its former entry lapses. */
-    const bringBackAnew = (entry: WorkerEntry): void => {
-        replaced.add(entry.workerId);
+    /** Replaces a crashed worker under a new ID at its address after its downtime; the earlier entry is removed. */
+    const scheduleReplacement = (entry: WorkerEntry): void => {
+        replacedWorkerIds.add(entry.workerId);
         clock.setTimer(crashedDownMs, () => {
             const next = { ...entry, workerId: `${entry.workerId}*`, capacity: capacity ?? workerCapacity };
             workers.replace(entry.workerId, next);
             store.put("workers", next.workerId, next);
         });
-        clock.setTimer(entryLapsesMs, () => store.remove("workers", entry.workerId));
+        clock.setTimer(entryRemovalMs, () => store.remove("workers", entry.workerId));
     };
-    const bringBack = keepsIds ? bringBackUnderId : bringBackAnew;
+    const scheduleReturn = keepsIds ? scheduleReturnUnderId : scheduleReplacement;
     const fakeWorkers = createFakeFencedWorkers({
         clock,
         leaseLimitMs: 10_000,
@@ -405,20 +423,28 @@
             return breaksGangs && gang ? count : 0;
         },
         onCrash: entry => {
-            calm.note();
-            bringBack(entry);
+            faultTracker.recordFault();
+            scheduleReturn(entry);
         },
         model: (taskName, run) => ({
-            crashesAfterMs: crashesWorker(taskName) ? crashAfterMs : undefined,
+            crashesAfterMs: crashesWorker(taskName) ? taskCrashDelayMs : undefined,
             durationMs: stepOf(taskName)?.longRunning === true
                 ? 3_600_000
-                : runMs(taskName) * (failsByItself(taskName, run) ? failsAtShare : 1),
-            // One failure a task: a job that fails by bad luck alone proves nothing.
+                : runMs(taskName) * (failsByItself(taskName, run) ? failureAtShare : 1),
+            // Only first runs fail by chance: a job that exhausted its attempts by chance would prove nothing about the scheduler.
             fails: (run === 1 || failOften === 1) && random.next() < failOften || failsByItself(taskName, run),
         }),
     });
-    const workers = calm.noting(fakeWorkers, ["setFault", "crash", "goDown", "replace", "startAgain", "resize", "add"]);
-    const seats = new Map<string, Seat>();
+    const workers = faultTracker.recordingCalls(fakeWorkers, [
+        "setFault",
+        "crash",
+        "goDown",
+        "replace",
+        "restart",
+        "resize",
+        "add",
+    ]);
+    const memberProcesses = new Map<string, MemberProcess>();
     const cuts = new Map<string, ReadonlySet<string>>();
     const answers = new Map<string, string>();
     const ids = Array.from({ length: memberCount }, (_, index) => `entry-${index}`);
@@ -435,61 +461,61 @@
         peerCalls.set(memberId, { sent: before.sent + sent, taken: before.taken + taken });
     };
 
-    /** What arrives while the VM is suspended is read when it runs again. */
-    const readAwake = async <T>(suspension: Suspension, answer: Promise<T>): Promise<T> => {
+    /** Delays an answer that arrives during a suspension until the VM resumes. */
+    const afterResume = async <T>(suspension: Suspension, answer: Promise<T>): Promise<T> => {
         try {
             return await answer;
         }
         finally {
-            await suspension.awake();
+            await suspension.whenRunning();
         }
     };
 
-    const queueMsBetween = (from: string, to: string): number =>
-        (store.link(from)?.queueMs() ?? 0) + (store.link(to)?.queueMs() ?? 0);
+    const queueDelayBetweenMs = (from: string, to: string): number =>
+        (store.link(from)?.queueDelayMs() ?? 0) + (store.link(to)?.queueDelayMs() ?? 0);
 
-    /** Over the links of both, which it fills while it comes. */
-    const carryConfiguration = (from: string, to: string): readonly Transfer[] => {
+    /** Sends the configuration over the links of both daemons. */
+    const transferConfiguration = (from: string, to: string): readonly Transfer[] => {
         const bytes = store.rows("operator").reduce((sum, { value }) => sum + (value?.length ?? 0), 0);
-        return [from, to].flatMap(memberId => store.link(memberId)?.carry(bytes) ?? []);
+        return [from, to].flatMap(memberId => store.link(memberId)?.send(bytes) ?? []);
     };
 
     const peersOf = (from: string, incarnation: Incarnation): MemberPort => ({
         call: async (address, name, input, timeoutMs, longestMs = timeoutMs) => {
             countCall(from, { sent: 1, taken: 0 });
             countCall(address, { sent: 0, taken: 1 });
-            const seat = seats.get(address);
+            const memberProcess = memberProcesses.get(address);
             if (!incarnation.alive) {
                 return new Promise<never>(() => {});
             }
-            await wait(linkMs);
-            if (seat?.incarnation.alive !== true) {
-                return die("unavailable", "nobody listens there");
+            await wait(linkDelayMs);
+            if (memberProcess?.incarnation.alive !== true) {
+                return die("unavailable", "no process listens at this address");
             }
             if (isCut(from, "peers") || isCut(address, "peers")) {
                 await wait(Math.min(timeoutMs, unansweredMs));
                 return die("mayHaveRun", "no answer");
             }
-            let carried: readonly Transfer[] = [];
+            let transfers: readonly Transfer[] = [];
             const handle = async (): Promise<unknown> => {
-                await wait(queueMsBetween(from, address));
-                await seat.suspension.awake();
+                await wait(queueDelayBetweenMs(from, address));
+                await memberProcess.suspension.whenRunning();
                 if (costs.callMs > 0) {
-                    await seat.processor.use(costs.callMs);
+                    await memberProcess.processor.use(costs.callMs);
                 }
-                const answer = await seat.handlers[name](input as never);
-                carried = name === "configuration" ? carryConfiguration(from, address) : [];
-                await Promise.all(carried.map(({ done }) => done));
+                const answer = await memberProcess.handlers[name](input as never);
+                transfers = name === "configuration" ? transferConfiguration(from, address) : [];
+                await Promise.all(transfers.map(({ done }) => done));
                 return answer;
             };
             const answer = await Promise.race([
                 handle(),
                 wait(longestMs).then(() => {
-                    carried.forEach(transfer => transfer.cancel());
+                    transfers.forEach(transfer => transfer.cancel());
                     return die("mayHaveRun", "no answer in time");
                 }),
             ]);
-            if (!seat.incarnation.alive || isCut(from, "peers") || isCut(address, "peers")) {
+            if (!memberProcess.incarnation.alive || isCut(from, "peers") || isCut(address, "peers")) {
                 await wait(Math.min(timeoutMs, unansweredMs));
                 return die("mayHaveRun", "the answer was lost");
             }
@@ -497,14 +523,14 @@
         },
     });
 
-    const termsOf = (stepName: string): AdviceTerms | undefined => {
+    const adviceTermsOf = (stepName: string): AdviceTerms | undefined => {
         const queueKey = queueOf.get(stepName.split(".", 1)[0] ?? "") ?? testQueue.key;
         return queues.find(queue => queue.key === queueKey)?.advice;
     };
 
     const advisor: AdvisorPort = {
         advise: async ({ stepName, workerIds }) => {
-            const terms = termsOf(stepName);
+            const terms = adviceTermsOf(stepName);
             await wait((terms?.decideMs ?? 0) + (terms?.eachMs ?? 0) * workerIds.length);
             return {
                 good: workerIds.filter(workerId => isGood(stepName, workerId))
@@ -520,13 +546,14 @@
         const incarnation: Incarnation = { alive: true };
         const processor = createProcessor(clock);
         const suspension = createSuspension(clock);
-        const awake = <A extends readonly unknown[], T>(call: (...args: A) => Promise<T>) => (...args: A): Promise<T> =>
-            readAwake(suspension, call(...args));
+        const delayUntilResumed =
+            <A extends readonly unknown[], T>(call: (...args: A) => Promise<T>) => (...args: A): Promise<T> =>
+                afterResume(suspension, call(...args));
         const peers = peersOf(memberId, incarnation);
         const alive = (): boolean => incarnation.alive;
-        const writer: Log = {
+        const memberLog: Log = {
             write: (_level, event, fields) => {
-                // What is left of a killed process in this one says nothing.
+                // Code of a killed daemon goes on in this process; its log lines are dropped.
                 if (alive()) {
                     log.push({ memberId, event, fields });
                     claimedAtMs = event === "claimed" ? clock.monotonicMs() : claimedAtMs;
@@ -534,22 +561,22 @@
             },
         };
         const connection = store.connect(memberId);
-        const never = new Promise<never>(() => {});
-        const fast = workers.connect(() => !isCut(memberId, "workers"));
-        const port = costs === noCosts ? fast : withProcessor(fast, { clock, processor, costs });
-        const surroundings = breakShardPart(broken, {
+        const unanswered = new Promise<never>(() => {});
+        const directPort = workers.connect(() => !isCut(memberId, "workers"));
+        const workerPort = costs === noCosts ? directPort : withProcessor(directPort, { clock, processor, costs });
+        const dependencies = breakShardPart(broken, {
             workers: {
-                start: (target, order, timeoutMs) => alive() ? port.start(target, order, timeoutMs) : never,
-                stop: (target, order, timeoutMs) => alive() ? port.stop(target, order, timeoutMs) : never,
-                look: (target, order) => alive() ? port.look(target, order) : never,
-                pace: (target, order) => alive() ? port.pace(target, order) : never,
+                start: (target, order, timeoutMs) => alive() ? workerPort.start(target, order, timeoutMs) : unanswered,
+                stop: (target, order, timeoutMs) => alive() ? workerPort.stop(target, order, timeoutMs) : unanswered,
+                look: (target, order) => alive() ? workerPort.look(target, order) : unanswered,
+                pace: (target, order) => alive() ? workerPort.pace(target, order) : unanswered,
             },
             advisor,
             readWorker: readEntry,
         });
         const member = startCellMember({
-            clock: costs === noCosts ? suspension.clock : withLateTimers(suspension.clock, processor),
-            log: writer,
+            clock: costs === noCosts ? suspension.clock : withQueuedTimers(suspension.clock, processor),
+            log: memberLog,
             meter: quietMeter,
             random,
             settings: {
@@ -565,30 +592,30 @@
                 strength: strengths[ids.indexOf(memberId)] ?? 1,
             },
             store: {
-                // A killed process sends nothing more; what it had sent may still take effect.
-                transact: awake((transaction, timeoutMs) =>
-                    alive() ? connection.transact(transaction, timeoutMs) : never
+                // A killed daemon sends nothing more, but calls that it has sent may still take effect.
+                transact: delayUntilResumed((transaction, timeoutMs) =>
+                    alive() ? connection.transact(transaction, timeoutMs) : unanswered
                 ),
-                read: awake((table, part, fromKey, limit, longestMs) =>
-                    alive() ? connection.read(table, part, fromKey, limit, longestMs) : never
+                read: delayUntilResumed((table, part, fromKey, limit, longestMs) =>
+                    alive() ? connection.read(table, part, fromKey, limit, longestMs) : unanswered
                 ),
-                changes: awake((table, version, waitMs) =>
-                    alive() ? connection.changes(table, version, waitMs) : never
+                changes: delayUntilResumed((table, version, waitMs) =>
+                    alive() ? connection.changes(table, version, waitMs) : unanswered
                 ),
             },
             workers: {
-                start: awake(surroundings.workers.start),
-                stop: awake(surroundings.workers.stop),
-                look: awake(surroundings.workers.look),
-                pace: awake(surroundings.workers.pace),
+                start: delayUntilResumed(dependencies.workers.start),
+                stop: delayUntilResumed(dependencies.workers.stop),
+                look: delayUntilResumed(dependencies.workers.look),
+                pace: delayUntilResumed(dependencies.workers.pace),
             },
-            advisor: { advise: awake(surroundings.advisor.advise) },
-            members: { call: (...call) => readAwake(suspension, peers.call(...call)) },
+            advisor: { advise: delayUntilResumed(dependencies.advisor.advise) },
+            members: { call: (...call) => afterResume(suspension, peers.call(...call)) },
             platform: {
                 configurationTable: "operator",
                 readConfiguration: row => row.key === "configuration" ? decodeRow(row, configurationSchema) : noEntry,
                 workerTable: "workers",
-                readWorker: surroundings.readWorker,
+                readWorker: dependencies.readWorker,
                 upkeep: {
                     port: vms.port,
                     settleMs: checksVmTokens ? 0 : 15_000,
@@ -597,13 +624,13 @@
                 },
             },
         });
-        seats.set(memberId, { member, handlers: member.handlers, incarnation, processor, suspension });
+        memberProcesses.set(memberId, { member, handlers: member.handlers, incarnation, processor, suspension });
     };
 
     const listWorkers = (): void => {
         for (const [index, workerId] of workers.workerIds().entries()) {
             const isDown = keepsIds && workers.entryOf(workerId) === undefined;
-            if (!replaced.has(workerId) && !isDown) {
+            if (!replacedWorkerIds.has(workerId) && !isDown) {
                 store.put("workers", workerId, workers.entryOf(workerId) ?? workerEntry(workerId, index, capacity));
             }
         }
@@ -618,9 +645,9 @@
         workers,
         checksTokens: checksVmTokens,
         keepsIds,
-        renew: (vmId, workerId) => {
+        startNextWorker: (vmId, workerId) => {
             if (keepsIds) {
-                startAgain(workerId);
+                restartUnderId(workerId);
                 return workerId;
             }
             const index = Number(vmId.split("-").at(-1));
@@ -631,7 +658,7 @@
             return renewed.workerId;
         },
     });
-    const vms = calm.noting(fakeVms, ["setFault"]);
+    const vms = faultTracker.recordingCalls(fakeVms, ["setFault"]);
     listWorkers();
     let organisations = firstOrganisations;
     let newestVersion = 0;
@@ -657,56 +684,64 @@
         start(memberId);
     }
 
-    /** Jobs whose row says that they go on; they are accepted, whoever has heard so. */
+    /** Jobs whose stored state is open; they are accepted, whether or not their callers got the answer. */
     const openJobs = (): readonly string[] =>
         store.rows(journalTable).filter(({ key, value }) =>
             key.startsWith(stateKeyPrefix)
             && openStates.has((JSON.parse(value ?? "{}") as { state?: string; }).state ?? "")
         ).map(({ key }) => key.slice(stateKeyPrefix.length));
 
-    const workersForNew = (): readonly WorkerEntry[] =>
+    /** Entries of the listed workers that take new tasks and have no fault. */
+    const availableWorkers = (): readonly WorkerEntry[] =>
         store.rows("workers").map(readEntry).flatMap(decoded => decoded.kind === "entry" ? [decoded.entry] : [])
-            .filter(({ workerId, draining }) => !draining && workers.isSound(workerId));
+            .filter(({ workerId, draining }) => !draining && workers.isFaultFree(workerId));
 
-    /** Whether the organisation of a job has under half of its cap at work, and a cap that ever holds its widest step. */
+    /**
+     * Whether a job's organisation uses less than half of its cap, and the cap fits every step of the job; true for a job without
+     * organisation.
+     */
     const hasRoomUnderCap = (jobId: string): boolean => {
         const organisation = organisationOf.get(jobId) ?? "";
         const cap = organisations?.find(({ name }) => name === organisation)?.cap ?? noResources;
         const used = workers.evidence.filter(({ taskName, endedAtMs }) =>
             endedAtMs === undefined && organisationOf.get(parseTaskName(taskName)?.jobId ?? "") === organisation
         ).reduce((sum, { taskName }) => add(sum, heldOf(taskName)), noResources);
-        const atOnce = (step: Step): Resources => step.gang ? scale(heldBy(step), step.count) : heldBy(step);
-        const fitsCap = (steps.get(jobId) ?? []).every(step => amountAboveCap(cap, atOnce(step)) === undefined);
+        const neededAtOnce = (step: Step): Resources => step.gang ? scale(heldBy(step), step.count) : heldBy(step);
+        const fitsCap = (steps.get(jobId) ?? []).every(step => amountAboveCap(cap, neededAtOnce(step)) === undefined);
         return organisation === "" || fitsCap && isUnderHalf(used, cap);
     };
 
-    /** Workers of a wave that goes on are closed to new tasks, and from outside nobody sees which. */
-    const wavesOpen = (): boolean =>
+    /** Whether an upkeep wave is open. Some of its workers take no new tasks then, and it is not visible from outside which. */
+    const hasOpenWave = (): boolean =>
         store.rows("operator").some(({ key }) =>
             key.startsWith("wave/") && store.rows("status").find(row => row.key === key)?.value !== waveStates.completed
         );
 
-    /** Whether a fault lasts: of a daemon, the store, the VMs' calls or a worker that is listed or should be. */
-    const isDisturbed = (): boolean => {
+    /** Whether a fault of a daemon, the store, the VM calls or a worker lasts; so does a worker that is up but not listed. */
+    const isFaulty = (): boolean => {
         const listed = new Set(store.rows("workers").map(({ key }) => key));
-        return cuts.size > 0 || !store.isSound() || !vms.isSound()
-            || [...seats.values()].some(({ incarnation, suspension }) => !incarnation.alive || suspension.isSuspended())
+        return cuts.size > 0 || !store.isFaultFree() || !vms.isFaultFree()
+            || [...memberProcesses.values()].some(({ incarnation, suspension }) =>
+                !incarnation.alive || suspension.isSuspended()
+            )
             || workers.workerIds().some(workerId =>
-                listed.has(workerId) ? !workers.isSound(workerId) : workers.entryOf(workerId) !== undefined
+                listed.has(workerId) ? !workers.isFaultFree(workerId) : workers.entryOf(workerId) !== undefined
             );
     };
 
     const owner = (): string | undefined =>
-        ids.find(id => seats.get(id)?.incarnation.alive === true && seats.get(id)?.member.ownsShard());
+        ids.find(id =>
+            memberProcesses.get(id)?.incarnation.alive === true && memberProcesses.get(id)?.member.ownsShard()
+        );
 
-    const send = async (submission: JobSubmission): Promise<void> => {
-        // A caller resends the same id, through any daemon, until it is accepted.
+    const submitUntilAccepted = async (submission: JobSubmission): Promise<void> => {
+        // Resends the same job ID through one daemon after another until it is accepted, as callers do.
         for (let index = submission.jobId.charCodeAt(submission.jobId.length - 1);; index += 1) {
-            const seat = seats.get(ids[index % ids.length] ?? "");
-            if (seat?.incarnation.alive === true) {
+            const memberProcess = memberProcesses.get(ids[index % ids.length] ?? "");
+            if (memberProcess?.incarnation.alive === true) {
                 try {
                     await Promise.race([
-                        seat.member.submit(submission, 2_000),
+                        memberProcess.member.submit(submission, 2_000),
                         wait(unansweredMs).then(() => die("mayHaveRun", "no answer")),
                     ]);
                     answers.set(submission.jobId, "accepted");
@@ -726,70 +761,73 @@
         workers,
         log,
         memberIds: () => ids,
-        member: memberId => seats.get(memberId)?.member,
+        member: memberId => memberProcesses.get(memberId)?.member,
         owner,
         submit: (jobId, jobSteps, queueKey) => {
             steps.set(jobId, jobSteps);
             if (queueKey !== undefined) {
                 queueOf.set(jobId, queueKey);
             }
-            void send(submissionOf(jobId, jobSteps, queueKey === undefined ? {} : { queueKey }));
+            void submitUntilAccepted(submissionOf(jobId, jobSteps, queueKey === undefined ? {} : { queueKey }));
         },
         submitFor: (organisation, jobId, jobSteps, queueKey = testQueue.key) => {
             steps.set(jobId, jobSteps);
             organisationOf.set(jobId, organisation);
             queueOf.set(jobId, queueKey);
-            void send(submissionOf(jobId, jobSteps, { queueKey, organisation }));
+            void submitUntilAccepted(submissionOf(jobId, jobSteps, { queueKey, organisation }));
         },
         submitOnce: (jobId, jobSteps, memberId, organisation = "") => {
             steps.set(jobId, jobSteps);
             organisationOf.set(jobId, organisation);
-            const seat = seats.get(memberId ?? ids[jobId.charCodeAt(jobId.length - 1) % ids.length] ?? "");
-            void seat?.member.submit(submissionOf(jobId, jobSteps, { organisation }), onceMs).then(
-                () => answers.set(jobId, "accepted"),
-                (error: unknown) => answers.set(jobId, kindOf(error)),
+            const memberProcess = memberProcesses.get(
+                memberId ?? ids[jobId.charCodeAt(jobId.length - 1) % ids.length] ?? "",
             );
+            void memberProcess?.member.submit(submissionOf(jobId, jobSteps, { organisation }), singleSubmitTimeoutMs)
+                .then(
+                    () => answers.set(jobId, "accepted"),
+                    (error: unknown) => answers.set(jobId, kindOf(error)),
+                );
         },
         answers: () => answers,
         kill: memberId => {
-            calm.note();
-            const seat = seats.get(memberId);
-            if (seat !== undefined) {
-                seat.incarnation.alive = false;
+            faultTracker.recordFault();
+            const memberProcess = memberProcesses.get(memberId);
+            if (memberProcess !== undefined) {
+                memberProcess.incarnation.alive = false;
             }
         },
         restart: memberId => {
-            calm.note();
-            if (seats.get(memberId)?.incarnation.alive !== true) {
+            faultTracker.recordFault();
+            if (memberProcesses.get(memberId)?.incarnation.alive !== true) {
                 start(memberId);
             }
         },
         stop: async memberId => {
-            calm.note();
-            const seat = seats.get(memberId);
-            await seat?.member.leave(clock.monotonicMs() + leaveMs);
-            seat?.member.close();
-            if (seat !== undefined) {
-                seat.incarnation.alive = false;
+            faultTracker.recordFault();
+            const memberProcess = memberProcesses.get(memberId);
+            await memberProcess?.member.leave(clock.monotonicMs() + leaveTimeoutMs);
+            memberProcess?.member.close();
+            if (memberProcess !== undefined) {
+                memberProcess.incarnation.alive = false;
             }
         },
         suspend: (memberId, forMs) => {
-            seats.get(memberId)?.suspension.suspend(forMs);
-            clock.setTimer(forMs, calm.note);
+            memberProcesses.get(memberId)?.suspension.suspend(forMs);
+            clock.setTimer(forMs, faultTracker.recordFault);
         },
         cut: (memberId, what) => {
-            calm.note();
+            faultTracker.recordFault();
             cuts.set(memberId, new Set(what));
             if (what.includes("store")) {
                 store.setFault("hang", memberId);
             }
         },
         mend: memberId => {
-            calm.note();
+            faultTracker.recordFault();
             cuts.delete(memberId);
             store.setFault("none", memberId);
         },
-        isRunning: memberId => seats.get(memberId)?.incarnation.alive === true,
+        isRunning: memberId => memberProcesses.get(memberId)?.incarnation.alive === true,
         isCut,
         vms,
         askUpkeep: wave => store.put("operator", `wave/${wave.number}`, wave),
@@ -799,11 +837,11 @@
         organisations: () => organisations ?? [],
         version: () => newestVersion,
         listWorkers: () => {
-            calm.note();
+            faultTracker.recordFault();
             listWorkers();
         },
         unlist: workerId => {
-            calm.note();
+            faultTracker.recordFault();
             store.remove("workers", workerId);
         },
         crashWorkers: workerIds => {
@@ -811,7 +849,7 @@
                 const entry = workers.entryOf(workerId);
                 if (entry !== undefined) {
                     workers.goDown(workerId);
-                    bringBack(entry);
+                    scheduleReturn(entry);
                 }
             }
         },
@@ -835,7 +873,7 @@
             }
         },
         drain: (workerId, remainingMs) => {
-            calm.note();
+            faultTracker.recordFault();
             const index = workers.workerIds().indexOf(workerId);
             store.put("workers", workerId, {
                 ...workers.entryOf(workerId) ?? workerEntry(workerId, index),
@@ -856,21 +894,21 @@
         statesOf: async jobIds => {
             const states = new Map<string, string | undefined>(jobIds.map(jobId => [jobId, undefined]));
             const memberId = owner();
-            const seat = memberId === undefined ? undefined : seats.get(memberId);
-            for (const jobId of seat === undefined ? [] : jobIds) {
-                void seat?.handlers.jobState({ queueKey: testQueue.key, jobId }).then(answer => {
+            const memberProcess = memberId === undefined ? undefined : memberProcesses.get(memberId);
+            for (const jobId of memberProcess === undefined ? [] : jobIds) {
+                void memberProcess?.handlers.jobState({ queueKey: testQueue.key, jobId }).then(answer => {
                     states.set(jobId, answer.state);
                 }, () => {
                     states.set(jobId, "unknown");
                 });
             }
-            // An owner that has just taken over may still be reading what ended before.
+            // An owner that has just taken over may still be reading the jobs that ended before.
             await clock.advance(stateWaitMs);
             return states;
         },
         breaches: () => [
-            ...breachesOf(workers.evidence, taskName => stepOf(taskName)?.speculative === true),
-            ...workers.overcommitted().map(workerId => `${workerId} held more than it has`),
+            ...findBreaches(workers.evidence, taskName => stepOf(taskName)?.speculative === true),
+            ...workers.overcommitted().map(workerId => `${workerId} held more than its capacity`),
             ...log.filter(({ event }) => event === "accountCorrected").map(({ fields }) =>
                 `the account of ${String(fields["organisation"])} had to be corrected`
             ),
@@ -881,17 +919,17 @@
                 heldOf,
             }),
         ],
-        calmSinceMs: calm.sinceMs,
+        faultFreeSinceMs: faultTracker.faultFreeSinceMs,
         stepOf,
         claimedAtMs: () => claimedAtMs,
         standing: times =>
-            wavesOpen() ? [] : standingTasks({
+            hasOpenWave() ? [] : findStalledTasks({
                 jobs: openJobs().filter(hasRoomUnderCap).map(jobId => ({ jobId, steps: steps.get(jobId) ?? [] })),
                 evidence: workers.evidence,
-                workers: workersForNew(),
+                workers: availableWorkers(),
                 heldOf,
-                isGood,
-                ...(times === undefined ? {} : { times }),
+                isAllowed: isGood,
+                ...(times === undefined ? {} : { roomFactor: times }),
             }),
     };
 };
--- a/packages/stand-ins/src/shard/shardFaults.ts
+++ b/packages/stand-ins/src/shard/shardFaults.ts
@@ -1,8 +1,8 @@
-/** Faults of a cell of daemons with one shard, by name. */
+/** Named faults that tests inject into a cell with one shard. */
 
 import type { ShardCell } from "./shardCell.js";
 
-/** How long a worker stays shrunk after the others have ceased to fail everything. */
+/** How long a worker stays shrunk after the other workers no longer fail every run. */
 const shrunkForMs = 12_000;
 
 const cutOwner = (cell: ShardCell, what: readonly ("peers" | "store" | "workers")[]): () => void => {
@@ -11,7 +11,7 @@
     return () => cell.mend(owner);
 };
 
-/** Cuts daemons off from each other too, which is worse for them than to share a data centre. */
+/** Cuts daemons off from everything, also from each other; daemons behind one cut data centre could still reach each other. */
 const cutOthers = (cell: ShardCell, count: number): () => void => {
     const others = cell.memberIds().filter(memberId => memberId !== cell.owner()).slice(0, count);
     for (const memberId of others) {
@@ -24,23 +24,23 @@
     };
 };
 
-const storeFault = (cell: ShardCell, fault: "hang" | "refuse" | "loseReply" | "late" | "slow"): () => void => {
+const setStoreFault = (cell: ShardCell, fault: "hang" | "refuse" | "loseReply" | "late" | "slow"): () => void => {
     cell.store.setFault(fault);
     return () => cell.store.setFault("none");
 };
 
-/** Workers whose incarnation goes on; those that crashed are listed no more. */
+/** IDs of the workers that are up. */
 const liveWorkers = (cell: ShardCell): readonly string[] =>
     cell.workers.workerIds().filter(workerId => cell.workers.entryOf(workerId) !== undefined);
 
-/** Workers that are back by themselves, as other incarnations. */
+/** Crashes a share of the workers, one at least; they come back by themselves as new incarnations. */
 const crashWorkers = (cell: ShardCell, share: number): () => void => {
     const alive = liveWorkers(cell);
     cell.crashWorkers(alive.slice(0, Math.max(1, share * alive.length)));
     return () => {};
 };
 
-/** VMs that run again by themselves. */
+/** Suspends VMs, which resume by themselves. */
 const suspend = (cell: ShardCell, memberIds: readonly string[], forMs: number): () => void => {
     for (const memberId of memberIds) {
         cell.suspend(memberId, forMs);
@@ -48,36 +48,36 @@
     return () => {};
 };
 
-/** Workers that live, those with the most processors taken first. */
+/** IDs of the workers that are up, those with the most processor time in use first. */
 const fullestFirst = (cell: ShardCell): readonly string[] =>
     [...liveWorkers(cell)].sort((left, right) =>
         cell.workers.heldOn(right).cpuMillis - cell.workers.heldOn(left).cpuMillis
     );
 
-const failAll = (cell: ShardCell, hit: readonly string[]): () => void => {
-    for (const workerId of hit) {
+const failWorkers = (cell: ShardCell, targets: readonly string[]): () => void => {
+    for (const workerId of targets) {
         cell.workers.setFault(workerId, "failing");
     }
     return () => {
-        for (const workerId of hit) {
+        for (const workerId of targets) {
             cell.workers.setFault(workerId, "none");
         }
     };
 };
 
-const workerFault = (cell: ShardCell, fault: "cut" | "late" | "failing" | "deaf", count: number): () => void => {
-    const hit = liveWorkers(cell).slice(0, count);
-    for (const workerId of hit) {
+const setWorkerFault = (cell: ShardCell, fault: "cut" | "late" | "failing" | "deaf", count: number): () => void => {
+    const targets = liveWorkers(cell).slice(0, count);
+    for (const workerId of targets) {
         cell.workers.setFault(workerId, fault);
     }
     return () => {
-        for (const workerId of hit) {
+        for (const workerId of targets) {
             cell.workers.setFault(workerId, "none");
         }
     };
 };
 
-/** Every organisation may have this many times its present cap. */
+/** Multiplies the processor cap of every organisation. */
 const scaleCaps = (cell: ShardCell, times: number): void => {
     const scaled = cell.organisations().map(({ cap, ...organisation }) => ({
         ...organisation,
@@ -86,7 +86,7 @@
     cell.configure(cell.version() + 1, scaled);
 };
 
-/** Faults of this kind may overlap, and each takes back its own share alone. */
+/** Scales all caps; undoing it divides by the same factor, so that overlapping changes can end in any order. */
 const changeCaps = (cell: ShardCell, times: number): () => void => {
     scaleCaps(cell, times);
     return () => scaleCaps(cell, 1 / times);
@@ -99,7 +99,7 @@
     return () => cell.listWorkers();
 };
 
-/** Faults of a cell by name; each gives what mends it. */
+/** Faults by name; each injects itself into the cell and returns the function that undoes it. */
 export const shardFaults: Readonly<Record<string, (cell: ShardCell) => () => void>> = {
     "owner killed": cell => {
         const owner = cell.owner() ?? cell.memberIds()[0] ?? "";
@@ -118,11 +118,11 @@
     "owner cut from its peers, the store, workers": cell => cutOwner(cell, ["peers", "store", "workers"]),
     "a fifth of the others cut off": cell => cutOthers(cell, Math.floor(cell.memberIds().length / 5)),
     "a third of the daemons cut from the store": cell => {
-        const hit = cell.memberIds().filter((_, index) => index % 3 === 0);
-        for (const memberId of hit) {
+        const targets = cell.memberIds().filter((_, index) => index % 3 === 0);
+        for (const memberId of targets) {
             cell.cut(memberId, ["store"]);
         }
-        return () => hit.forEach(memberId => cell.mend(memberId));
+        return () => targets.forEach(memberId => cell.mend(memberId));
     },
     "another cut from its peers": cell => {
         const other = cell.memberIds().find(memberId => memberId !== cell.owner()) ?? "";
@@ -132,12 +132,12 @@
     "two others cut off": cell => cutOthers(cell, 2),
     "owner and a third of the others killed": cell => {
         const owner = cell.owner() ?? cell.memberIds()[0] ?? "";
-        const hit = [...cell.memberIds().filter((memberId, index) => memberId !== owner && index % 3 === 0), owner];
-        for (const memberId of hit) {
+        const targets = [...cell.memberIds().filter((memberId, index) => memberId !== owner && index % 3 === 0), owner];
+        for (const memberId of targets) {
             cell.kill(memberId);
         }
         return () => {
-            for (const memberId of hit) {
+            for (const memberId of targets) {
                 cell.restart(memberId);
             }
         };
@@ -152,11 +152,11 @@
             }
         };
     },
-    "store hangs": cell => storeFault(cell, "hang"),
-    "store refuses": cell => storeFault(cell, "refuse"),
-    "store loses answers": cell => storeFault(cell, "loseReply"),
-    "store answers late": cell => storeFault(cell, "late"),
-    "store slow": cell => storeFault(cell, "slow"),
+    "store hangs": cell => setStoreFault(cell, "hang"),
+    "store refuses": cell => setStoreFault(cell, "refuse"),
+    "store loses answers": cell => setStoreFault(cell, "loseReply"),
+    "store answers late": cell => setStoreFault(cell, "late"),
+    "store slow": cell => setStoreFault(cell, "slow"),
     "history lost": cell => {
         cell.store.forgetHistory();
         return () => {};
@@ -165,8 +165,8 @@
         cell.store.silenceFeeds();
         return () => {};
     },
-    "worker cut": cell => workerFault(cell, "cut", 1),
-    "all workers cut": cell => workerFault(cell, "cut", cell.workers.workerIds().length),
+    "worker cut": cell => setWorkerFault(cell, "cut", 1),
+    "all workers cut": cell => setWorkerFault(cell, "cut", cell.workers.workerIds().length),
     "all workers cut but the first": cell => {
         const others = cell.workers.workerIds().slice(1);
         for (const workerId of others) {
@@ -178,22 +178,22 @@
             }
         };
     },
-    "worker carries out late": cell => workerFault(cell, "late", 1),
-    "half of the workers carry out late": cell => workerFault(cell, "late", Math.ceil(liveWorkers(cell).length / 2)),
-    "orders to a worker get lost": cell => workerFault(cell, "deaf", 1),
-    "orders to all workers get lost": cell => workerFault(cell, "deaf", cell.workers.workerIds().length),
-    "worker fails everything": cell => workerFault(cell, "failing", 1),
+    "worker carries out late": cell => setWorkerFault(cell, "late", 1),
+    "half of the workers carry out late": cell => setWorkerFault(cell, "late", Math.ceil(liveWorkers(cell).length / 2)),
+    "orders to a worker get lost": cell => setWorkerFault(cell, "deaf", 1),
+    "orders to all workers get lost": cell => setWorkerFault(cell, "deaf", cell.workers.workerIds().length),
+    "worker fails everything": cell => setWorkerFault(cell, "failing", 1),
     "half of the workers fail everything": cell =>
-        failAll(cell, fullestFirst(cell).slice(Math.floor(liveWorkers(cell).length / 2))),
-    "all workers but one fail everything": cell => failAll(cell, fullestFirst(cell).slice(1)),
+        failWorkers(cell, fullestFirst(cell).slice(Math.floor(liveWorkers(cell).length / 2))),
+    "all workers but one fail everything": cell => failWorkers(cell, fullestFirst(cell).slice(1)),
     "all workers but one, which has shrunk, fail everything": cell => {
-        const sound = fullestFirst(cell).slice(-1);
-        const mend = failAll(cell, fullestFirst(cell).slice(0, -1));
-        cell.resize(sound, 0.2);
+        const shrunkWorkers = fullestFirst(cell).slice(-1);
+        const undoFailures = failWorkers(cell, fullestFirst(cell).slice(0, -1));
+        cell.resize(shrunkWorkers, 0.2);
         return () => {
-            mend();
-            // It stays shrunk for as long as tasks may wait for it.
-            cell.clock.setTimer(shrunkForMs, () => cell.resize(sound, 1));
+            undoFailures();
+            // It stays shrunk for as long as the scheduler may let tasks wait for this worker.
+            cell.clock.setTimer(shrunkForMs, () => cell.resize(shrunkWorkers, 1));
         };
     },
     "worker crashes": cell => {
@@ -236,10 +236,10 @@
     "caps raised to double": cell => changeCaps(cell, 2),
     "workers not listed": unlistWorkers,
     "workers cut until their entries lapsed": cell => {
-        const mendCut = workerFault(cell, "cut", cell.workers.workerIds().length);
+        const restoreLinks = setWorkerFault(cell, "cut", cell.workers.workerIds().length);
         const listAgain = unlistWorkers(cell);
         return () => {
-            mendCut();
+            restoreLinks();
             listAgain();
         };
     },
--- a/packages/stand-ins/src/shard/shardLoad.ts
+++ b/packages/stand-ins/src/shard/shardLoad.ts
@@ -1,28 +1,31 @@
-/** A mixed load on a cell's shard, and what its callers get by kind of job. */
+/** Submits a mixed load to a cell's shard and counts the outcomes by kind of job. */
 
 import { hash, type Queue, runEnds, type ShardPolicies, type Step } from "puffinarch";
 import { jobIdOf, readSteps } from "./jobShapes.js";
 import { createShardCell, type ShardCell, testQueue } from "./shardCell.js";
 
-/** Jobs of one kind, submitted one after the other. */
+/** Jobs of one kind, submitted at a fixed interval. */
 export interface LoadKind {
     readonly name: string;
     readonly queue: Queue;
     readonly steps: readonly Step[];
     readonly everyMs: number;
-    /** A job that takes longer from its submission on is late. */
+    /** A job that takes longer than this from its submission counts as late. */
     readonly objectiveMs: number;
 }
 
-/** What callers of one kind got. */
+/** Outcome of the jobs of one kind. */
 export interface LoadOutcome {
+    /** Jobs submitted. */
     readonly asked: number;
+    /** Jobs done within the objective. */
     readonly inTime: number;
+    /** Jobs done after the objective. */
     readonly late: number;
-    /** Neither done nor refused by the end. */
+    /** Jobs neither done nor refused by the end. */
     readonly open: number;
     readonly refused: number;
-    /** Of those that are done, from submission to the last end. */
+    /** Median time of the done jobs from their submission to the end of their last task. */
     readonly medianMs: number;
 }
 
@@ -32,7 +35,7 @@
     readonly sentAtMs: number;
 }
 
-const queueOf = (name: string, changes: Partial<Queue>): Queue => ({
+const createQueue = (name: string, changes: Partial<Queue>): Queue => ({
     ...testQueue,
     key: `stages.example/${name}/`,
     pathPrefix: `/${name}/`,
@@ -42,31 +45,34 @@
 const objectiveOf = ({ stretch, targetRuntimeMs, advice }: Queue, chainMs: number, steps: number): number =>
     stretch * (chainMs + steps * ((advice?.decideMs ?? 0) + 30 * (advice?.eachMs ?? 0))) + targetRuntimeMs;
 
-const kindOf = (name: string, text: string, everyMs: number, changes: Partial<Queue>): LoadKind => {
-    const queue = queueOf(name, changes);
+const createKind = (name: string, text: string, everyMs: number, changes: Partial<Queue>): LoadKind => {
+    const queue = createQueue(name, changes);
     const steps = readSteps(text);
     const chainMs = steps.reduce((sum, step) => sum + step.estimateMs, 0);
     return { name, queue, steps, everyMs, objectiveMs: objectiveOf(queue, chainMs, steps.length) };
 };
 
 /**
- * Two kinds on workers with 8 accelerators: large tasks that need a whole worker, and small ones with time to spare. At
- * factor 1 they use nine tenths of four workers.
+ * Returns two kinds of jobs for workers with 8 accelerators: large tasks that need a whole worker, and small ones with a looser
+ * objective. With factor 1 they use nine tenths of four workers.
+ *
+ * @example
+ * const [large, small] = acceleratorLoad(1);
  */
 export const acceleratorLoad = (factor: number): readonly LoadKind[] => [
-    kindOf("large", "1 of 8 accelerators for 2000 ms", 2_000 / factor, {
+    createKind("large", "1 of 8 accelerators for 2000 ms", 2_000 / factor, {
         priority: 1,
         stretch: 2.2,
         targetRuntimeMs: 1_000,
     }),
-    kindOf("small", "4 of 1 accelerators checkpointing for 2000 ms", 420 / factor, {
+    createKind("small", "4 of 1 accelerators checkpointing for 2000 ms", 420 / factor, {
         priority: 2,
         stretch: 4,
         targetRuntimeMs: 3_000,
     }),
 ];
 
-/** A cell for a load, whose advisor allows each step on some of the workers only, and on one at least. */
+/** Creates a cell for a load. Its advisor allows each step on about `goodPercent` percent of the workers, and on one at least. */
 export const createLoadCell = (
     kinds: readonly LoadKind[],
     { workers, seed, goodPercent, policies }: {
@@ -101,30 +107,31 @@
     }
     const tasks = kind.steps.reduce((sum, step) => sum + step.count, 0);
     const answers = cell.answers();
-    const mine = jobs.filter(job => job.kind === kind);
-    const tookMs = mine.filter(job => doneTasks.get(job.jobId) === tasks)
+    const jobsOfKind = jobs.filter(job => job.kind === kind);
+    const durationsMs = jobsOfKind.filter(job => doneTasks.get(job.jobId) === tasks)
         .map(job => (doneAtMs.get(job.jobId) ?? 0) - job.sentAtMs)
         .sort((left, right) => left - right);
-    const inTime = tookMs.filter(each => each <= kind.objectiveMs).length;
-    const refused = mine.filter(job => answers.get(job.jobId) === "refused").length;
+    const inTime = durationsMs.filter(each => each <= kind.objectiveMs).length;
+    const refused = jobsOfKind.filter(job => answers.get(job.jobId) === "refused").length;
     return {
-        asked: mine.length,
+        asked: jobsOfKind.length,
         inTime,
-        late: tookMs.length - inTime,
+        late: durationsMs.length - inTime,
         refused,
-        open: mine.length - tookMs.length - refused,
-        medianMs: Math.round(tookMs[Math.floor(tookMs.length / 2)] ?? 0),
+        open: jobsOfKind.length - durationsMs.length - refused,
+        medianMs: Math.round(durationsMs[Math.floor(durationsMs.length / 2)] ?? 0),
     };
 };
 
 const stepMs = 10;
 
 /**
- * Submits jobs of all kinds for a while, lets those that wait go on for `restMs`, and tells what callers got.
+ * Submits jobs of all kinds for `forMs`, lets the remaining ones run for another `restMs`, and returns the outcome by kind.
  *
  * @example
  * const kinds = acceleratorLoad(1);
- * const outcomes = await playLoad(createLoadCell(kinds, { workers: 4, seed: 1, goodPercent: 50 }), kinds, { forMs: 20_000, restMs: 5_000 });
+ * const cell = createLoadCell(kinds, { workers: 4, seed: 1, goodPercent: 50 });
+ * const outcomes = await playLoad(cell, kinds, { forMs: 20_000, restMs: 5_000 });
  */
 export const playLoad = async (
     cell: ShardCell,
--- a/packages/stand-ins/src/shard/standing.ts
+++ b/packages/stand-ins/src/shard/standing.ts
@@ -1,6 +1,7 @@
 /**
- * Tasks that stand: accepted, their turn has come, they neither run nor have ended, and workers with room for them answer.
- * It is judged from the store's rows and the workers' evidence alone, so that no owner's own view of its tasks counts.
+ * Check for stalled tasks. A task is stalled if its job is accepted and the steps it depends on are done, it neither runs nor is
+ * done, and workers that answer have room for it. The check uses only the store's rows and the records of the fake workers, not
+ * the owner's view of its tasks.
  */
 
 import {
@@ -17,58 +18,59 @@
 import type { StartEvidence } from "./fencedWorkers.js";
 import type { ShardCell } from "./shardCell.js";
 
-/** What is seen of a cell from outside at one moment. */
-export interface StandingView {
+/** State of a cell at one moment, as seen from outside the daemons. */
+export interface SchedulingSnapshot {
     /** Jobs that are accepted and have not ended. */
     readonly jobs: readonly { readonly jobId: string; readonly steps: readonly Step[]; }[];
     readonly evidence: readonly StartEvidence[];
-    /** Workers that are listed, take new work and answer. */
+    /** Workers that are listed, not draining and free of faults. */
     readonly workers: readonly WorkerEntry[];
+    /** Resources that a task holds while it runs. */
     readonly heldOf: (taskName: string) => Resources;
     /** Whether the advisor allows a step on a worker. */
-    readonly isGood: (stepName: string, workerId: string) => boolean;
-    /** For how many times a task or gang there has to be room; once where it is left out. */
-    readonly times?: number;
+    readonly isAllowed: (stepName: string, workerId: string) => boolean;
+    /** Counts a task or gang as stalled only where this many of it fit; 1 where it is left out. */
+    readonly roomFactor?: number;
 }
 
-/** For how long a task may stand while nothing is wrong. */
-export const standsMs = 3_000;
-/** How long before that time nothing may have been wrong either. */
-export const calmBeforeMs = 4_000;
-/** Runs that a former owner may have begun are over by then, as are its leases. */
-const formerLeasesMs = 7_600;
+/** How long a task may be stalled while there is no fault. */
+export const stallLimitMs = 3_000;
+/** How long the cell must have been free of faults before that time begins. */
+export const faultFreeBeforeMs = 4_000;
+/** Time after a claim in which runs that the former owner may have started end, and its leases expire. */
+const formerOwnerRunsMs = 7_600;
 /**
- * The longest wait of all: for cells in which something is wrong still, tasks that are tried by themselves after crashes, and
- * tasks of jobs of which others are at work meanwhile, which lets their callers wait for less.
+ * How long a task may be stalled in any case. It applies to cells in which a fault lasts, to tasks that are tried one at a time
+ * after worker crashes, and to tasks of jobs that have other tasks running, which shortens the wait of the caller.
  */
-const longestCalmWaitMs = 14_000;
+const longestWaitMs = 14_000;
 
-const roomByWorker = ({ workers, evidence, heldOf }: StandingView): ReadonlyMap<string, Resources> => {
-    const rooms = new Map(workers.map(({ workerId, capacity }) => [workerId, capacity]));
+const freeResourcesByWorker = ({ workers, evidence, heldOf }: SchedulingSnapshot): ReadonlyMap<string, Resources> => {
+    const freeByWorker = new Map(workers.map(({ workerId, capacity }) => [workerId, capacity]));
     for (const { workerId, taskName, endedAtMs } of evidence) {
-        const room = rooms.get(workerId);
+        const room = freeByWorker.get(workerId);
         if (endedAtMs === undefined && room !== undefined) {
-            rooms.set(workerId, subtract(room, heldOf(taskName)));
+            freeByWorker.set(workerId, subtract(room, heldOf(taskName)));
         }
     }
-    return rooms;
+    return freeByWorker;
 };
 
-/** How many tasks of a step fit on a worker beside what is there; no more are asked after than `most`. */
-const countFitting = (step: Step, room: Resources, runsHere: number, most: number): number => {
+/** Returns how many tasks of a step fit into the free resources of a worker, up to `limit`. */
+const countFitting = (step: Step, room: Resources, runsOnWorker: number, limit: number): number => {
     const need = heldBy(step);
-    const allowed = step.maxPerWorker === 0 ? most : Math.min(most, step.maxPerWorker - runsHere);
-    let left = room;
+    const allowed = step.maxPerWorker === 0 ? limit : Math.min(limit, step.maxPerWorker - runsOnWorker);
+    let remaining = room;
     let count = 0;
-    while (count < allowed && fits(need, left)) {
-        left = subtract(left, need);
+    while (count < allowed && fits(need, remaining)) {
+        remaining = subtract(remaining, need);
         count += 1;
     }
     return count;
 };
 
-/** Live runs of each step on each worker. */
-const countRuns = ({ evidence }: StandingView): ReadonlyMap<string, number> => {
+/** Counts the live runs of each step on each worker; keys are `job.step@worker`. */
+const countRuns = ({ evidence }: SchedulingSnapshot): ReadonlyMap<string, number> => {
     const counts = new Map<string, number>();
     for (const { taskName, workerId, endedAtMs } of evidence) {
         const name = parseTaskName(taskName);
@@ -81,17 +83,17 @@
 };
 
 /**
- * Names the tasks that stand at this moment. The members of a gang stand where there is room for all of them at once, on
- * one worker or several; racks that a step would rather stay on do not matter.
+ * Returns the names of the tasks that are stalled at this moment. The members of a gang are stalled where all of them fit at
+ * once, on one worker or several. Preferred racks of a step are ignored.
  *
  * @example
- * standingTasks({ jobs, evidence, workers, heldOf, isGood: () => true });
+ * findStalledTasks({ jobs, evidence, workers, heldOf, isAllowed: () => true });
  */
-export const standingTasks = (view: StandingView): readonly string[] => {
-    const { times = 1 } = view;
+export const findStalledTasks = (snapshot: SchedulingSnapshot): readonly string[] => {
+    const { roomFactor = 1 } = snapshot;
     const running = new Set<string>();
     const done = new Set<string>();
-    for (const { taskName, endedAtMs, how } of view.evidence) {
+    for (const { taskName, endedAtMs, how } of snapshot.evidence) {
         if (endedAtMs === undefined) {
             running.add(taskName);
         }
@@ -99,10 +101,10 @@
             done.add(taskName);
         }
     }
-    const rooms = roomByWorker(view);
-    const runs = countRuns(view);
-    const standing: string[] = [];
-    for (const { jobId, steps } of view.jobs) {
+    const freeByWorker = freeResourcesByWorker(snapshot);
+    const runs = countRuns(snapshot);
+    const stalled: string[] = [];
+    for (const { jobId, steps } of snapshot.jobs) {
         const namesOf = (step: number): readonly string[] =>
             Array.from(
                 { length: steps[step]?.count ?? 0 },
@@ -116,70 +118,72 @@
             if (isDone(number) || !step.after.every(isDone)) {
                 continue;
             }
-            const most = times * (step.gang ? step.count : 1);
+            const limit = roomFactor * (step.gang ? step.count : 1);
             let fitting = 0;
-            for (const { workerId, labels } of view.workers) {
-                const room = rooms.get(workerId);
+            for (const { workerId, labels } of snapshot.workers) {
+                const room = freeByWorker.get(workerId);
                 const isAllowed = (step.requiredLabel === "" || labels.includes(step.requiredLabel))
-                    && view.isGood(`${jobId}.0.${number}`, workerId);
+                    && snapshot.isAllowed(`${jobId}.0.${number}`, workerId);
                 if (room !== undefined && isAllowed) {
                     fitting += countFitting(
                         step,
                         room,
                         runs.get(`${jobId}.${number}@${workerId}`) ?? 0,
-                        most - fitting,
+                        limit - fitting,
                     );
                 }
             }
-            if (fitting >= most) {
-                standing.push(...namesOf(number).filter(name => !running.has(name) && !done.has(name)));
+            if (fitting >= limit) {
+                stalled.push(...namesOf(number).filter(name => !running.has(name) && !done.has(name)));
             }
         }
     }
-    return standing;
+    return stalled;
 };
 
 /**
- * Until when a task may go on to stand: for 3 s where the cell has been calm for 4 s, and by so much longer as it has to be
- * calm still, has no owner, or leases of a former owner may last.
+ * Time until which tasks that are stalled since `sinceMs` may stay so. It is 3 s after the latest of three moments: `sinceMs`,
+ * 4 s after the last fault, and 7.6 s after the owner's claim. A fault that lasts, or a missing owner, counts as of now.
  */
-const standsUntilMs = (cell: ShardCell, sinceMs: number): number => {
+const stallDeadlineMs = (cell: ShardCell, sinceMs: number): number => {
     const nowMs = cell.clock.monotonicMs();
     const claimedAtMs = cell.owner() === undefined ? nowMs : cell.claimedAtMs();
-    return standsMs + Math.max(sinceMs, (cell.calmSinceMs() ?? nowMs) + calmBeforeMs, claimedAtMs + formerLeasesMs);
+    return stallLimitMs
+        + Math.max(sinceMs, (cell.faultFreeSinceMs() ?? nowMs) + faultFreeBeforeMs, claimedAtMs + formerOwnerRunsMs);
 };
-const lookMs = 100;
+const pollIntervalMs = 100;
 
-/** Whether a worker has crashed under the task, so that it may have to be tried by itself, after others. */
+/** Whether a worker has crashed while it ran the task, which may then have to wait to be tried alone, after others. */
 const mayBeOnTrial = ({ workers }: ShardCell, taskName: string): boolean =>
     workers.evidence.some(start => start.taskName === taskName && start.how === "crashed");
 
-/** Whether others of its job are at work; each task that lasts counts by itself. */
-const isAccompanied = ({ workers, stepOf }: ShardCell, taskName: string): boolean => {
+/** Whether other tasks of its job are running; false for a long-running task, which counts by itself. */
+const hasRunningSiblings = ({ workers, stepOf }: ShardCell, taskName: string): boolean => {
     const jobId = parseTaskName(taskName)?.jobId ?? "";
     return stepOf(taskName)?.longRunning !== true
         && workers.evidence.some(start => start.endedAtMs === undefined && start.taskName.startsWith(`${jobId}.`));
 };
 
 /**
- * Lets a cell go on until no task of it stands, for as long as one may at the most; gives those that stood all the time.
+ * Advances time until no task of the cell is stalled, or until stalled tasks have exceeded their time limit; returns those that
+ * were stalled from the call on.
  *
  * @example
  * assert.deepEqual(await findStanding(cell), []);
  */
 export const findStanding = async (cell: ShardCell): Promise<readonly string[]> => {
     const sinceMs = cell.clock.monotonicMs();
-    let standing = cell.standing();
-    for (let passedMs = 0; passedMs < longestCalmWaitMs && standing.length > 0; passedMs += lookMs) {
-        if (sinceMs + passedMs >= standsUntilMs(cell, sinceMs)) {
-            const late = standing.filter(name => !mayBeOnTrial(cell, name) && !isAccompanied(cell, name));
-            if (late.length > 0) {
-                return late;
+    let stalled = cell.standing();
+    for (let passedMs = 0; passedMs < longestWaitMs && stalled.length > 0; passedMs += pollIntervalMs) {
+        if (sinceMs + passedMs >= stallDeadlineMs(cell, sinceMs)) {
+            const overdue = stalled.filter(name => !mayBeOnTrial(cell, name) && !hasRunningSiblings(cell, name));
+            if (overdue.length > 0) {
+                return overdue;
             }
         }
-        await cell.clock.advance(lookMs);
-        const now = new Set(cell.standing());
-        standing = standing.filter(name => now.has(name));
+        await cell.clock.advance(pollIntervalMs);
+        const stalledNow = new Set(cell.standing());
+        stalled = stalled.filter(name => stalledNow.has(name));
     }
-    return standing;
+    return stalled;
 };
