--- a/packages/stand-ins/src/shard/standingWatch.ts
+++ b/packages/stand-ins/src/shard/standingWatch.ts
@@ -1,33 +1,36 @@
-/** Looks on while a scene goes on: jobs of which nothing runs though the cell is calm and has room for them twice over. */
+/**
+ * Watches a cell during a test for stalled tasks: tasks that do not run although there is no fault and the workers have room for
+ * them twice over.
+ */
 
 import { parseTaskName, type RunEnd } from "puffinarch";
 import type { StartEvidence } from "./fencedWorkers.js";
 import type { ShardCell } from "./shardCell.js";
-import { calmBeforeMs, standsMs } from "./standing.js";
+import { faultFreeBeforeMs, stallLimitMs } from "./standing.js";
 
-/** What a watch has seen. */
+/** Result of watching a cell. */
 export interface StandingWatch {
-    /** Each task that stood for too long, once, with the moment and what ran of it before. */
+    /** One line for each task that was stalled for too long, with the time and the earlier runs of the task. */
     stood(): readonly string[];
 }
 
-const lookMs = 250;
-const timesOver = 2;
-/** A task that lasts, which has no last attempt, may stand until this long after its last run. */
-const lastingRestMs = 6_000;
+const pollIntervalMs = 250;
+const roomFactor = 2;
+/** A long-running task, whose attempts are not limited, may wait this long after its last run. */
+const longRunningWaitMs = 6_000;
 
 const jobOf = (taskName: string): string => parseTaskName(taskName)?.jobId ?? "";
 
-const showRuns = (evidence: readonly StartEvidence[], taskName: string): string =>
+const describeRuns = (evidence: readonly StartEvidence[], taskName: string): string =>
     evidence.filter(start => start.taskName === taskName)
         .map(({ run, workerId, endedAtMs = NaN, how = "running" as RunEnd }) =>
             `run ${run} ${how} on ${workerId} at ${Math.round(endedAtMs)}`
         ).join(", ");
 
 /**
- * Watches a cell from now on. A task is noted that stands for 3 s on end while nothing of its job is at work, each time with
- * room for it twice over, where no fault has been there in these 3 s and the 4 s before. Of tasks that last each is looked
- * at by itself, from 6 s after its last run on.
+ * Watches a cell from now on. Reports a task that is stalled for 3 s without interruption, with room for it twice over, while no
+ * task of its job runs and no fault has occurred in these 3 s and the 4 s before. A long-running task is judged on its own,
+ * from 6 s after its last run on.
  *
  * @example
  * const watch = watchStanding(cell);
@@ -36,18 +39,18 @@
  */
 export const watchStanding = (cell: ShardCell): StandingWatch => {
     const { clock, workers: { evidence } } = cell;
-    const sinceMs = new Map<string, number>();
-    const stood = new Map<string, string>();
+    const stalledSinceMs = new Map<string, number>();
+    const reports = new Map<string, string>();
 
-    const mayStand = (taskName: string, busyJobs: ReadonlySet<string>, nowMs: number): boolean => {
+    const mayWait = (taskName: string, busyJobs: ReadonlySet<string>, nowMs: number): boolean => {
         if (cell.stepOf(taskName)?.longRunning !== true) {
             return busyJobs.has(jobOf(taskName));
         }
         const lastEndMs = evidence.findLast(start => start.taskName === taskName)?.endedAtMs ?? -Infinity;
-        return nowMs - lastEndMs < lastingRestMs;
+        return nowMs - lastEndMs < longRunningWaitMs;
     };
 
-    /** A run may begin and end between two looks. */
+    /** When the last run ended that counts for the task, as a run may begin and end between two polls. */
     const lastEndOf = (taskName: string): number => {
         const isLasting = cell.stepOf(taskName)?.longRunning === true;
         const isOfSame = (other: string): boolean => isLasting ? other === taskName : jobOf(other) === jobOf(taskName);
@@ -56,32 +59,35 @@
         );
     };
 
-    const look = (): void => {
-        clock.setTimer(lookMs, look);
+    const poll = (): void => {
+        clock.setTimer(pollIntervalMs, poll);
         const nowMs = clock.monotonicMs();
-        const calmMs = nowMs - (cell.calmSinceMs() ?? nowMs);
-        if (calmMs < calmBeforeMs) {
-            sinceMs.clear();
+        const faultFreeMs = nowMs - (cell.faultFreeSinceMs() ?? nowMs);
+        if (faultFreeMs < faultFreeBeforeMs) {
+            stalledSinceMs.clear();
             return;
         }
         const busyJobs = new Set(
             evidence.filter(({ endedAtMs }) => endedAtMs === undefined).map(({ taskName }) => jobOf(taskName)),
         );
-        const standing = new Set(cell.standing(timesOver).filter(taskName => !mayStand(taskName, busyJobs, nowMs)));
-        for (const taskName of sinceMs.keys()) {
-            if (!standing.has(taskName)) {
-                sinceMs.delete(taskName);
+        const stalledTasks = new Set(cell.standing(roomFactor).filter(taskName => !mayWait(taskName, busyJobs, nowMs)));
+        for (const taskName of stalledSinceMs.keys()) {
+            if (!stalledTasks.has(taskName)) {
+                stalledSinceMs.delete(taskName);
             }
         }
-        for (const taskName of standing) {
-            const since = sinceMs.get(taskName) ?? nowMs;
-            sinceMs.set(taskName, since);
-            if (nowMs - Math.max(since, lastEndOf(taskName)) >= standsMs && !stood.has(taskName)) {
-                stood.set(taskName, `${taskName} stood for 3 s at ${nowMs}, ${showRuns(evidence, taskName)}`);
+        for (const taskName of stalledTasks) {
+            const since = stalledSinceMs.get(taskName) ?? nowMs;
+            stalledSinceMs.set(taskName, since);
+            if (nowMs - Math.max(since, lastEndOf(taskName)) >= stallLimitMs && !reports.has(taskName)) {
+                reports.set(
+                    taskName,
+                    `${taskName} was stalled for 3 s at ${nowMs}, ${describeRuns(evidence, taskName)}`,
+                );
             }
         }
     };
 
-    clock.setTimer(lookMs, look);
-    return { stood: () => [...stood.values()] };
+    clock.setTimer(pollIntervalMs, poll);
+    return { stood: () => [...reports.values()] };
 };
--- a/packages/stand-ins/src/shard/suspension.ts
+++ b/packages/stand-ins/src/shard/suspension.ts
@@ -1,47 +1,48 @@
 /**
- * A process whose VM is suspended now and then: nothing of it runs meanwhile, and its steady clock loses that time, while
- * the clocks of all others go on.
+ * Simulation of a process whose VM can be suspended. No code of the process runs during a suspension, and its monotonic clock
+ * does not count that time, while its wall clock and the clocks of other processes go on.
  */
 
 import type { Clock } from "puffinarch";
 
+/** Tolerance for the rounding of times. */
 const roundingMs = 0.001;
 
-/** One process's time. */
+/** The clock of one process and control over its suspension. */
 export interface Suspension {
-    /** The clock as the process reads it. */
+    /** The clock that the process uses; its timers do not fire during a suspension. */
     readonly clock: Clock;
-    /** Suspends the VM for this long from now on. */
+    /** Suspends the VM for this long from now on; ignored where it is suspended already. */
     suspend(forMs: number): void;
     isSuspended(): boolean;
-    /** Resolves at once while it runs, else when it runs again: what arrives meanwhile is read then. */
-    awake(): Promise<void>;
+    /** Resolves at once while the VM runs, otherwise when it resumes; messages that arrive during the suspension wait for this. */
+    whenRunning(): Promise<void>;
 }
 
 /**
- * Makes the time of a process; it runs at first.
+ * Creates the suspension control of a process, which runs at first.
  *
  * @example
  * const suspension = createSuspension(clock);
  * suspension.suspend(3_000);
  */
 export const createSuspension = (clock: Clock): Suspension => {
-    let lostMs = 0;
+    let suspendedTotalMs = 0;
     let suspendedAtMs: number | undefined;
-    let resume: (() => void)[] = [];
+    let resumeCallbacks: (() => void)[] = [];
 
-    const monotonicMs = (): number => (suspendedAtMs ?? clock.monotonicMs()) - lostMs;
+    const monotonicMs = (): number => (suspendedAtMs ?? clock.monotonicMs()) - suspendedTotalMs;
 
-    const awake = (): Promise<void> =>
+    const whenRunning = (): Promise<void> =>
         suspendedAtMs === undefined ? Promise.resolve() : new Promise(resolve => {
-            resume.push(resolve);
+            resumeCallbacks.push(resolve);
         });
 
-    const wakeUp = (): void => {
-        lostMs += clock.monotonicMs() - (suspendedAtMs ?? clock.monotonicMs());
+    const resume = (): void => {
+        suspendedTotalMs += clock.monotonicMs() - (suspendedAtMs ?? clock.monotonicMs());
         suspendedAtMs = undefined;
-        const waiting = resume;
-        resume = [];
+        const waiting = resumeCallbacks;
+        resumeCallbacks = [];
         for (const run of waiting) {
             run();
         }
@@ -56,12 +57,12 @@
         };
         const fire = async (): Promise<void> => {
             if (suspendedAtMs !== undefined) {
-                await awake();
+                await whenRunning();
             }
             if (cancelled) {
                 return;
             }
-            // Sums of times are not exact; a timer that is armed for nothing would be so for ever.
+            // Times are floating-point sums; without the tolerance a timer could be set again for a remainder of 0 forever.
             if (dueAtMs - monotonicMs() > roundingMs) {
                 arm();
                 return;
@@ -80,10 +81,10 @@
         suspend: forMs => {
             if (suspendedAtMs === undefined) {
                 suspendedAtMs = clock.monotonicMs();
-                clock.setTimer(forMs, wakeUp);
+                clock.setTimer(forMs, resume);
             }
         },
         isSuspended: () => suspendedAtMs !== undefined,
-        awake,
+        whenRunning,
     };
 };
