--- a/packages/stand-ins/src/shard/delayedStart.ts
+++ b/packages/stand-ins/src/shard/delayedStart.ts
@@ -60,7 +60,7 @@
  * Runs a plan on a new cell whose random choices come from the seed.
  *
  * @example
- * const { wrong } = await playDelayedStart(1, { steps: "2", downMs: 50, lateForMs: 200, crashesAtMs: [2_700], faults: [] });
+ * const { problems } = await playDelayedStart(1, { steps: "2", downMs: 50, lateForMs: 200, crashesAtMs: [2_700], faults: [] });
  */
 export const playDelayedStart = async (seed: number, plan: DelayedStartPlan): Promise<DelayedStartOutcome> => {
     const { downMs, checksTickets = false } = plan;
--- a/packages/stand-ins/src/shard/exploreSeed.ts
+++ b/packages/stand-ins/src/shard/exploreSeed.ts
@@ -278,7 +278,7 @@
  * no violation was found.
  *
  * @example
- * const wrong = await exploreShardSeed(7, { lasting: true });
+ * const problems = await exploreShardSeed(7, { lasting: true });
  */
 export const exploreShardSeed = async (
     seed: number,
--- a/packages/stand-ins/src/shard/shardCell.ts
+++ b/packages/stand-ins/src/shard/shardCell.ts
@@ -45,7 +45,7 @@
 import { createFaultTracker } from "./calm.js";
 import { capBreaches, type CapVersion, isUnderHalf } from "./capCheck.js";
 import { createFakeVms, type FakeVms } from "./fakeVms.js";
-import { findBreaches, createFakeFencedWorkers, type FakeFencedWorkers, ticketFor } from "./fencedWorkers.js";
+import { createFakeFencedWorkers, type FakeFencedWorkers, findBreaches, ticketFor } from "./fencedWorkers.js";
 import type { Transfer } from "./link.js";
 import { createProcessor, type Processor, type ProcessorCosts, withProcessor, withQueuedTimers } from "./processor.js";
 import { createFakeRowStore, type FakeRowStore } from "./rowStore.js";
--- a/packages/stand-ins/src/shard/shardFaults.ts
+++ b/packages/stand-ins/src/shard/shardFaults.ts
@@ -92,7 +92,7 @@
     return () => scaleCaps(cell, 1 / times);
 };
 
-const unlistWorkers = (cell: ShardCell): () => void => {
+const removeWorkerEntries = (cell: ShardCell): () => void => {
     for (const workerId of cell.workers.workerIds()) {
         cell.unlist(workerId);
     }
@@ -234,13 +234,13 @@
     },
     "caps lowered to a quarter": cell => changeCaps(cell, 0.25),
     "caps raised to double": cell => changeCaps(cell, 2),
-    "workers not listed": unlistWorkers,
+    "workers not listed": removeWorkerEntries,
     "workers cut until their entries lapsed": cell => {
         const restoreLinks = setWorkerFault(cell, "cut", cell.workers.workerIds().length);
-        const listAgain = unlistWorkers(cell);
+        const writeEntriesAgain = removeWorkerEntries(cell);
         return () => {
             restoreLinks();
-            listAgain();
+            writeEntriesAgain();
         };
     },
 };
--- a/packages/stand-ins/src/shard/shardLoad.ts
+++ b/packages/stand-ins/src/shard/shardLoad.ts
@@ -72,7 +72,7 @@
     }),
 ];
 
-/** Creates a cell for a load. Its advisor allows each step on about `goodPercent` percent of the workers, and on one at least. */
+/** Creates a cell for a load. Its advisor allows each step on about `allowedPercent` percent of the workers, and on one at least. */
 export const createLoadCell = (
     kinds: readonly LoadKind[],
     { workers, seed, goodPercent, policies }: {
@@ -130,7 +130,7 @@
  *
  * @example
  * const kinds = acceleratorLoad(1);
- * const cell = createLoadCell(kinds, { workers: 4, seed: 1, goodPercent: 50 });
+ * const cell = createLoadCell(kinds, { workers: 4, seed: 1, allowedPercent: 50 });
  * const outcomes = await playLoad(cell, kinds, { forMs: 20_000, restMs: 5_000 });
  */
 export const playLoad = async (
--- a/packages/stand-ins/src/shard/standing.ts
+++ b/packages/stand-ins/src/shard/standing.ts
@@ -169,7 +169,7 @@
  * were stalled from the call on.
  *
  * @example
- * assert.deepEqual(await findStanding(cell), []);
+ * assert.deepEqual(await findPersistentlyStalledTasks(cell), []);
  */
 export const findStanding = async (cell: ShardCell): Promise<readonly string[]> => {
     const sinceMs = cell.clock.monotonicMs();
--- a/packages/stand-ins/src/shard/standingWatch.ts
+++ b/packages/stand-ins/src/shard/standingWatch.ts
@@ -33,9 +33,9 @@
  * from 6 s after its last run on.
  *
  * @example
- * const watch = watchStanding(cell);
+ * const watch = watchStalledTasks(cell);
  * await cell.clock.advance(20_000);
- * assert.deepEqual(watch.stood(), []);
+ * assert.deepEqual(watch.stalledTasks(), []);
  */
 export const watchStanding = (cell: ShardCell): StandingWatch => {
     const { clock, workers: { evidence } } = cell;
