--- a/packages/stand-ins/src/shard/fencedWorkers.ts
+++ b/packages/stand-ins/src/shard/fencedWorkers.ts
@@ -118,7 +118,7 @@
     readonly clockStartMs: number;
     /** End of the lease of its runs, on its own clock. */
     deadlineMs: number;
-    cancelLapse: () => void;
+    cancelExpiry: () => void;
     readonly running: Map<string, LiveRun>;
     readonly highestRun: Map<string, number>;
     ended: (EndedRun & { readonly evidence: StartEvidence; })[];
@@ -250,8 +250,8 @@
         }
         const nowMs = workerTimeMs(worker);
         worker.deadlineMs = Math.max(worker.deadlineMs, Math.min(deadlineMs, nowMs + leaseLimitMs));
-        worker.cancelLapse();
-        worker.cancelLapse = clock.setTimer(Math.max(0, worker.deadlineMs - nowMs), () => expireLease(worker));
+        worker.cancelExpiry();
+        worker.cancelExpiry = clock.setTimer(Math.max(0, worker.deadlineMs - nowMs), () => expireLease(worker));
     };
 
     const acceptToken = (worker: FakeWorker, token: number): boolean => {
@@ -264,7 +264,7 @@
 
     const endIncarnation = (worker: FakeWorker): void => {
         worker.alive = false;
-        worker.cancelLapse();
+        worker.cancelExpiry();
         const ended = [...worker.running.values()];
         worker.running.clear();
         for (const { evidence: run, cancel } of ended) {
@@ -509,7 +509,7 @@
             down: false,
             clockStartMs,
             deadlineMs: 0,
-            cancelLapse: () => {},
+            cancelExpiry: () => {},
             running: new Map(),
             highestRun: new Map(),
             ended: [],
--- a/packages/stand-ins/src/shard/standingWatch.ts
+++ b/packages/stand-ins/src/shard/standingWatch.ts
@@ -51,11 +51,12 @@
     };
 
     /** When the last run ended that counts for the task, as a run may begin and end between two polls. */
-    const lastEndOf = (taskName: string): number => {
-        const isLasting = cell.stepOf(taskName)?.longRunning === true;
-        const isOfSame = (other: string): boolean => isLasting ? other === taskName : jobOf(other) === jobOf(taskName);
+    const lastRelevantEndMs = (taskName: string): number => {
+        const isLongRunning = cell.stepOf(taskName)?.longRunning === true;
+        const isRelevant = (other: string): boolean =>
+            isLongRunning ? other === taskName : jobOf(other) === jobOf(taskName);
         return Math.max(
-            ...evidence.filter(start => isOfSame(start.taskName)).map(({ endedAtMs = -Infinity }) => endedAtMs),
+            ...evidence.filter(start => isRelevant(start.taskName)).map(({ endedAtMs = -Infinity }) => endedAtMs),
         );
     };
 
@@ -79,7 +80,7 @@
         for (const taskName of stalledTasks) {
             const since = stalledSinceMs.get(taskName) ?? nowMs;
             stalledSinceMs.set(taskName, since);
-            if (nowMs - Math.max(since, lastEndOf(taskName)) >= stallLimitMs && !reports.has(taskName)) {
+            if (nowMs - Math.max(since, lastRelevantEndMs(taskName)) >= stallLimitMs && !reports.has(taskName)) {
                 reports.set(
                     taskName,
                     `${taskName} was stalled for 3 s at ${nowMs}, ${describeRuns(evidence, taskName)}`,
