--- a/features/steps/delayedStartSteps.ts
+++ b/features/steps/delayedStartSteps.ts
@@ -61,7 +61,10 @@
 });
 
 Then("nothing goes wrong in any of them", function(this: ScenarioWorld) {
-    assert.deepEqual(part(this).outcomes.flatMap(({ wrong }, index) => wrong.map(each => `${index + 1}: ${each}`)), []);
+    assert.deepEqual(
+        part(this).outcomes.flatMap(({ problems: wrong }, index) => wrong.map(each => `${index + 1}: ${each}`)),
+        [],
+    );
 });
 
 Then(
--- a/features/steps/failedTaskSteps.ts
+++ b/features/steps/failedTaskSteps.ts
@@ -57,9 +57,9 @@
             members,
             workers,
             seed: 1,
-            breaksGangs: true,
+            runsGangsTogether: true,
             queues: [{ ...testQueue, advice: { decideMs, eachMs: 1, validMs: 2_000 } }],
-            isGood: (_stepName, workerId) => indexOf(workerId) < allowed,
+            isAllowed: (_stepName, workerId) => indexOf(workerId) < allowed,
         });
     },
 );
@@ -82,7 +82,7 @@
 Given(
     /^a cell of (\d+) daemons and 3 workers, one of which is (free|full|shrunk)$/,
     async function(this: ScenarioWorld, members: string, how: string) {
-        await startCell(this, { members: Number(members), workers: 3, seed: 1, capacity, breaksGangs: true });
+        await startCell(this, { members: Number(members), workers: 3, seed: 1, capacity, runsGangsTogether: true });
         const cell = cellOf(this);
         part(this).third = await thirdWorkers[how]?.(cell) ?? assert.fail(`no such worker: ${how}`);
         await cell.clock.advance(2_000);
--- a/features/steps/keptRoomSteps.ts
+++ b/features/steps/keptRoomSteps.ts
@@ -76,7 +76,7 @@
             seed,
             durationMs,
             queues: [{ ...testQueue, stretch }],
-            isGood: (stepName, workerId) =>
+            isAllowed: (stepName, workerId) =>
                 allowed.get(stepName.slice(0, stepName.indexOf(".")))?.includes(workerId) ?? true,
         });
     },
@@ -249,7 +249,7 @@
     "worker {string} is {string}, and all workers take work",
     function(this: ScenarioWorld, workerId: string, fault: string) {
         setFault(this, workerId, fault);
-        cellOf(this).listWorkers();
+        cellOf(this).writeWorkerEntries();
     },
 );
 
--- a/features/steps/loadSteps.ts
+++ b/features/steps/loadSteps.ts
@@ -73,7 +73,7 @@
 
 const play = async (world: ScenarioWorld, kinds: readonly LoadKind[], forMs: number): Promise<void> => {
     const { policies } = part(world);
-    const cell = createLoadCell(kinds, { workers: 4, seed: 1, goodPercent: 50, ...(policies && { policies }) });
+    const cell = createLoadCell(kinds, { workers: 4, seed: 1, allowedPercent: 50, ...(policies && { policies }) });
     part(world).outcomes = await playLoad(cell, kinds, { forMs, restMs: 10_000 });
     part(world).breaches = cell.breaches();
 };
@@ -89,7 +89,7 @@
     /^(\d+) to (\d+) percent of the (\w+) jobs are in time$/,
     function(this: ScenarioWorld, least: string, most: string, kind: string) {
         const outcome = part(this).outcomes[kind] ?? assert.fail(`there are no ${kind} jobs`);
-        const share = 100 * outcome.inTime / outcome.asked;
+        const share = 100 * outcome.onTime / outcome.submitted;
         assert.ok(share >= Number(least) && share <= Number(most), `${share} percent: ${JSON.stringify(outcome)}`);
     },
 );
--- a/features/steps/restSteps.ts
+++ b/features/steps/restSteps.ts
@@ -57,9 +57,9 @@
             members,
             workers,
             seed,
-            failOften: 1,
+            failureRate: 1,
             durationMs: 300,
-            isGood: (_step, workerId) => good.has(workerId),
+            isAllowed: (_step, workerId) => good.has(workerId),
             queues: [{ ...testQueue, stretch: 10, attempts: 3, advice: { decideMs, eachMs: 1, validMs: 2_500 } }],
         });
     },
--- a/features/steps/shardCellPart.ts
+++ b/features/steps/shardCellPart.ts
@@ -3,18 +3,18 @@
 import { After, Status } from "@cucumber/cucumber";
 import {
     createShardCell,
-    findStanding,
+    findPersistentlyStalledTasks,
     type PowerLossOutcome,
     type ShardCell,
-    type StandingWatch,
-    watchStanding,
+    type StalledTaskWatch,
+    watchStalledTasks,
 } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
     cell: ShardCell | undefined;
-    watch: StandingWatch | undefined;
+    watch: StalledTaskWatch | undefined;
     jobs: string[];
     mend: (() => void)[];
     seed: number;
@@ -78,11 +78,19 @@
     if (cell === undefined || result?.status !== Status.PASSED) {
         return;
     }
-    assert.deepEqual(watch?.stood(), [], "tasks stood in the midst of the scene although there was room for them");
+    assert.deepEqual(
+        watch?.stalledTasks(),
+        [],
+        "tasks stood in the midst of the scene although there was room for them",
+    );
     for (const end of mend.splice(0)) {
         end();
     }
-    assert.deepEqual(await findStanding(cell), [], "tasks stand although a worker with room for them answers");
+    assert.deepEqual(
+        await findPersistentlyStalledTasks(cell),
+        [],
+        "tasks stand although a worker with room for them answers",
+    );
 });
 
 /** The cell of a scenario. */
@@ -99,6 +107,6 @@
 ): Promise<void> => {
     part(world).cell = createShardCell(options);
     part(world).seed = options.seed;
-    part(world).watch = watchStanding(cellOf(world));
+    part(world).watch = watchStalledTasks(cellOf(world));
     await cellOf(world).clock.advance(2_000);
 };
--- a/features/steps/shardCellSteps.ts
+++ b/features/steps/shardCellSteps.ts
@@ -1,7 +1,7 @@
 /** Steps that start a cell with one shard, and let it run. */
 
 import { Given, When } from "@cucumber/cucumber";
-import { otherQueues, testQueue } from "@puffinarch/stand-ins";
+import { testQueue, unusedQueues } from "@puffinarch/stand-ins";
 import { cellOf, part, startCell } from "./shardCellPart.js";
 import type { ScenarioWorld } from "./support.js";
 
@@ -30,7 +30,14 @@
     "a cell of {int} daemons and {int} workers that start again under their IDs {int} ms after a crash, with {int} cores",
     async function(this: ScenarioWorld, members: number, workers: number, crashedDownMs: number, cores: number) {
         const nextCapacity = { cpuMillis: 1_000 * cores, memoryMib: 16_000, accelerators: 0 };
-        await startCell(this, { members, workers, seed: 1, keepsIds: true, crashedDownMs, nextCapacity });
+        await startCell(this, {
+            members,
+            workers,
+            seed: 1,
+            keepsIds: true,
+            crashedDownMs,
+            restartCapacity: nextCapacity,
+        });
     },
 );
 
@@ -103,7 +110,7 @@
             workers,
             seed: 1,
             strengths,
-            queues: [testQueue, ...otherQueues(queues)],
+            queues: [testQueue, ...unusedQueues(queues)],
         });
         for (const [index, memberId] of cellOf(this).memberIds().entries()) {
             cellOf(this).store.setLink(memberId, strengths[index] === 1 ? strongLink : weakLink);
@@ -114,14 +121,14 @@
 Given(
     "a cell of {int} daemons and {int} workers, seed {int}",
     async function(this: ScenarioWorld, members: number, workers: number, seed: number) {
-        await startCell(this, { members, workers, seed, failOften: 0.01 });
+        await startCell(this, { members, workers, seed, failureRate: 0.01 });
     },
 );
 
 Given(
     "a cell of {int} daemons and {int} workers where every run fails",
     async function(this: ScenarioWorld, members: number, workers: number) {
-        await startCell(this, { members, workers, seed: 1, failOften: 1 });
+        await startCell(this, { members, workers, seed: 1, failureRate: 1 });
     },
 );
 
--- a/features/steps/shardFaultSteps.ts
+++ b/features/steps/shardFaultSteps.ts
@@ -169,12 +169,12 @@
         const cell = cellOf(this);
         const [workerId = ""] = cell.workers.workerIds();
         cell.resize([workerId], 1 / 8);
-        cell.clock.setTimer(lapsesMs, () => cell.unlist(workerId));
+        cell.clock.setTimer(lapsesMs, () => cell.removeWorkerEntry(workerId));
     },
 );
 
 When("the workers are listed again", function(this: ScenarioWorld) {
-    cellOf(this).listWorkers();
+    cellOf(this).writeWorkerEntries();
 });
 
 When("the fault goes", function(this: ScenarioWorld) {
--- a/features/steps/shardOwnerSteps.ts
+++ b/features/steps/shardOwnerSteps.ts
@@ -99,7 +99,7 @@
         const before = cell.peerCalls();
         await cell.clock.advance(forMs);
         const callsOf = (calls: ReadonlyMap<string, PeerCalls>, memberId: string): number => {
-            const { sent, taken } = calls.get(memberId) ?? { sent: 0, taken: 0 };
+            const { sent, received: taken } = calls.get(memberId) ?? { sent: 0, received: 0 };
             return sent + taken;
         };
         for (const memberId of cell.memberIds()) {
--- a/features/steps/shardRunSteps.ts
+++ b/features/steps/shardRunSteps.ts
@@ -81,7 +81,7 @@
         start.endedAtMs !== undefined && start.endedAtMs > part(this).faultAtMs
     );
     assert.ok(late.length > 0);
-    assert.deepEqual(late.filter(start => start.notedAtMs !== undefined), []);
+    assert.deepEqual(late.filter(start => start.acknowledgedAtMs !== undefined), []);
 });
 
 const runningTasks = (cell: ShardCell): number =>
--- a/features/steps/shardUpkeepSteps.ts
+++ b/features/steps/shardUpkeepSteps.ts
@@ -8,7 +8,7 @@
 import type { ScenarioWorld } from "./support.js";
 
 Then("no VM had an order of a former owner after one of its successor", function(this: ScenarioWorld) {
-    assert.deepEqual(cellOf(this).vms.outOfTurn, []);
+    assert.deepEqual(cellOf(this).vms.staleOrders, []);
 });
 
 When("a wave is acted on while each record takes {int} ms", async function(this: ScenarioWorld, takesMs: number) {
@@ -65,7 +65,7 @@
     "the operator asks for upkeep of {int} VMs, {int} at once, within {int} ms",
     function(this: ScenarioWorld, count: number, atOnce: number, deadlineMs: number) {
         const vmIds = Array.from({ length: count }, (_, index) => `vm-${index}`);
-        cellOf(this).askUpkeep({ number: 1, vmIds, deadlineMs, atOnce });
+        cellOf(this).requestUpkeep({ number: 1, vmIds, deadlineMs, atOnce });
     },
 );
 
@@ -95,5 +95,5 @@
 );
 
 Then("the upkeep cut off no task", function(this: ScenarioWorld) {
-    assert.deepEqual(cellOf(this).vms.evidence.filter(each => each.cutRuns > 0), []);
+    assert.deepEqual(cellOf(this).vms.evidence.filter(each => each.interruptedRuns > 0), []);
 });
--- a/packages/stand-ins/src/shard/delayedStart.ts
+++ b/packages/stand-ins/src/shard/delayedStart.ts
@@ -7,8 +7,8 @@
 import { jobIdOf, readSteps } from "./jobShapes.js";
 import { createShardCell, type ShardCell } from "./shardCell.js";
 import { shardFaults } from "./shardFaults.js";
-import { findStanding } from "./standing.js";
-import { watchStanding } from "./standingWatch.js";
+import { findPersistentlyStalledTasks } from "./standing.js";
+import { watchStalledTasks } from "./standingWatch.js";
 
 /** Faults around one start order; times count from when the order is sent. */
 export interface DelayedStartPlan {
@@ -31,7 +31,7 @@
 /** Result of a run of the scenario. */
 export interface DelayedStartOutcome {
     /** Violated guarantees, stalled tasks, and whether a job did not end in the expected state. */
-    readonly wrong: readonly string[];
+    readonly problems: readonly string[];
     /** From when the start was sent until a task of the job first ran; Infinity where none did. */
     readonly firstRunAfterMs: number;
     /** Start orders that got no answer. */
@@ -73,7 +73,7 @@
         checksTickets,
     });
     const { clock, workers } = cell;
-    const watch = watchStanding(cell);
+    const watch = watchStalledTasks(cell);
     const jobId = jobIdOf(1);
     await clock.advance(2_000);
     for (const workerId of workers.workerIds()) {
@@ -118,13 +118,13 @@
     await clock.advance(lastAtMs);
     const ended = await cell.until(hasEnded, completionLimitMs);
     await clock.advance(lateOrdersMs);
-    const stalledTasks = await findStanding(cell);
+    const stalledTasks = await findPersistentlyStalledTasks(cell);
     const first = workers.evidence.find(({ taskName }) => taskName.startsWith(`${jobId}.`));
     return {
-        wrong: [
+        problems: [
             ...ended ? [] : ["a job did not end in the expected state"],
             ...stalledTasks.map(taskName => `${taskName} stands with room for it`),
-            ...watch.stood(),
+            ...watch.stalledTasks(),
             ...cell.breaches(),
         ],
         firstRunAfterMs: (first?.startedAtMs ?? Infinity) - sentAtMs,
--- a/packages/stand-ins/src/shard/exploreSeed.ts
+++ b/packages/stand-ins/src/shard/exploreSeed.ts
@@ -16,8 +16,8 @@
 } from "./jobShapes.js";
 import { createShardCell, type ShardCell, testQueue } from "./shardCell.js";
 import { shardFaults } from "./shardFaults.js";
-import { findStanding } from "./standing.js";
-import { watchStanding } from "./standingWatch.js";
+import { findPersistentlyStalledTasks } from "./standing.js";
+import { watchStalledTasks } from "./standingWatch.js";
 
 /** Faults that stop all placement while they last, so that it has to resume after them. */
 const placementStoppingFaults = [
@@ -305,17 +305,20 @@
         members: 4,
         workers: workersPerCell,
         seed: seed + draw * drawSeedStride,
-        failOften: 0.01,
+        failureRate: 0.01,
         crashedDownMs,
         keepsIds,
         checksTickets,
         broken,
         ...(capped ? { organisations } : {}),
         ...(failing
-            ? { breaksGangs: true, isGood: createAdviceRule(lasting ? allowedWorkersWithLongRunning : allowedWorkers) }
+            ? {
+                runsGangsTogether: true,
+                isAllowed: createAdviceRule(lasting ? allowedWorkersWithLongRunning : allowedWorkers),
+            }
             : {}),
     });
-    const watch = watchStanding(cell);
+    const watch = watchStalledTasks(cell);
     const jobs: string[] = [];
     const crashingJobs: string[] = [];
     const failingJobs: string[] = [];
@@ -354,7 +357,9 @@
     // Tasks that may crash workers are tried one at a time, so tasks may still wait while those jobs are open.
     const stalledTasks = crashing
         ? []
-        : (await findStanding(cell)).map(taskName => `${taskName} stands with room once nothing is wrong`);
+        : (await findPersistentlyStalledTasks(cell)).map(taskName =>
+            `${taskName} stands with room once nothing is wrong`
+        );
     // If a worker restarts under its ID during a change of owner, the new owner cannot see that a run had ended there or had
     // never begun. It counts such a crash against the task, so that two more are enough to give the job up.
     const crashesToGiveUp = keepsIds ? 2 : 3;
@@ -371,12 +376,14 @@
         );
     };
     await cell.until(async () => (await findUnexpectedStates()).length === 0, 60_000);
-    const stalledAtEnd = (await findStanding(cell)).map(taskName => `${taskName} stands with room for it`);
+    const stalledAtEnd = (await findPersistentlyStalledTasks(cell)).map(taskName =>
+        `${taskName} stands with room for it`
+    );
     const problems = [
         ...await findUnexpectedStates(),
         ...stalledTasks,
         ...stalledAtEnd,
-        ...watch.stood(),
+        ...watch.stalledTasks(),
         ...cell.breaches(),
     ];
     return problems.length === 0 ? [] : [...problems, ...faults];
--- a/packages/stand-ins/src/shard/fakeVms.ts
+++ b/packages/stand-ins/src/shard/fakeVms.ts
@@ -22,7 +22,7 @@
     /** Other VMs that were in upkeep at that time. */
     readonly othersDown: number;
     /** Number of runs on the VM's worker that the upkeep ended. */
-    readonly cutRuns: number;
+    readonly interruptedRuns: number;
 }
 
 /** The fake VMs with their call port, records and fault injection. */
@@ -31,7 +31,7 @@
     /** Every upkeep that began, in that order. */
     readonly evidence: readonly UpkeepEvidence[];
     /** Orders that were carried out with a lower fencing token than an earlier one; filled where tokens are not checked. */
-    readonly outOfTurn: readonly string[];
+    readonly staleOrders: readonly string[];
     setFault(fault: VmFault): void;
     /** Whether no fault is set. */
     isFaultFree(): boolean;
@@ -69,7 +69,7 @@
 }): FakeVms => {
     const vms = new Map<string, FakeVm>();
     const evidence: UpkeepEvidence[] = [];
-    const outOfTurn: string[] = [];
+    const staleOrders: string[] = [];
     let fault: VmFault = "none";
     for (const workerId of workers.workerIds()) {
         const vmId = workerId.replace("worker", "vm");
@@ -90,7 +90,7 @@
             if (checksTokens) {
                 return upkeepOutcomes.fenced;
             }
-            outOfTurn.push(`${vmId}: ${token} after ${vm.token}`);
+            staleOrders.push(`${vmId}: ${token} after ${vm.token}`);
         }
         vm.token = Math.max(token, vm.token);
         if (vm.waves.has(wave)) {
@@ -101,8 +101,9 @@
         }
         const othersDown = [...vms.values()].filter(other => other.state !== vmStates.up).length;
         const { workerId } = vm;
-        const cutRuns = workers.evidence.filter(run => run.workerId === workerId && run.endedAtMs === undefined).length;
-        evidence.push({ vmId, wave, atMs: clock.monotonicMs(), othersDown, cutRuns });
+        const interruptedRuns =
+            workers.evidence.filter(run => run.workerId === workerId && run.endedAtMs === undefined).length;
+        evidence.push({ vmId, wave, atMs: clock.monotonicMs(), othersDown, interruptedRuns });
         vm.waves.add(wave);
         vm.state = vmStates.upkeep;
         if (keepsIds) {
@@ -120,7 +121,7 @@
 
     return {
         evidence,
-        outOfTurn,
+        staleOrders,
         isFaultFree: () => fault === "none",
         setFault: next => {
             fault = next;
--- a/packages/stand-ins/src/shard/fencedWorkers.ts
+++ b/packages/stand-ins/src/shard/fencedWorkers.ts
@@ -37,7 +37,7 @@
     /** Whether the task crashes each worker that starts it. */
     readonly crashesWorkers: boolean;
     /** When the owner acknowledged the end; undefined before. */
-    notedAtMs: number | undefined;
+    acknowledgedAtMs: number | undefined;
     /** Whether the worker's lease expired between the end of the run and its acknowledgement. */
     lapsedBeforeAcknowledged: boolean;
 }
@@ -324,7 +324,7 @@
             startedAtMs: clock.monotonicMs(),
             endedAtMs: undefined,
             how: undefined,
-            notedAtMs: undefined,
+            acknowledgedAtMs: undefined,
             lapsedBeforeAcknowledged: false,
             crashesWorkers: crashesAfterMs !== undefined,
         };
@@ -375,7 +375,7 @@
         worker.acknowledgedUpTo = upTo;
         for (const end of worker.ended) {
             if (end.endNumber <= upTo) {
-                end.evidence.notedAtMs = clock.monotonicMs();
+                end.evidence.acknowledgedAtMs = clock.monotonicMs();
             }
         }
         worker.ended = worker.ended.filter(end => end.endNumber > upTo);
@@ -468,8 +468,8 @@
             target: WorkerTarget,
             { fencingToken, acknowledgedEnd, deadlineMs, waitMs, answerTimeoutMs }: LookOrder,
         ): Promise<LookResult> => {
-            const answerTimeoutMs = Math.min(unansweredMs, waitMs + answerTimeoutMs);
-            const worker = await reach(target, answerTimeoutMs);
+            const lookTimeoutMs = Math.min(unansweredMs, waitMs + answerTimeoutMs);
+            const worker = await reach(target, lookTimeoutMs);
             if (worker === undefined || worker === "down") {
                 return { outcome: orderOutcomes.unknown, connectionLost: worker === "down" };
             }
@@ -616,7 +616,10 @@
                 if (start.endedAtMs === undefined || later.startedAtMs < start.endedAtMs) {
                     breaches.push(`${taskName} ran twice at the same time: on ${start.workerId} and ${later.workerId}`);
                 }
-                if (start.how === runEnds.done && start.notedAtMs !== undefined && !start.lapsedBeforeAcknowledged) {
+                if (
+                    start.how === runEnds.done && start.acknowledgedAtMs !== undefined
+                    && !start.lapsedBeforeAcknowledged
+                ) {
                     breaches.push(`${taskName} was started again after its end was acknowledged`);
                 }
             }
--- a/packages/stand-ins/src/shard/powerLoss.ts
+++ b/packages/stand-ins/src/shard/powerLoss.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom } from "puffinarch";
 import { jobIdOf, readSteps } from "./jobShapes.js";
 import type { StoreFault } from "./rowStore.js";
-import { createShardCell, otherQueues, type ShardCell, testQueue } from "./shardCell.js";
+import { createShardCell, type ShardCell, testQueue, unusedQueues } from "./shardCell.js";
 import { shardFaults } from "./shardFaults.js";
 
 /** Result of a run. */
@@ -48,7 +48,7 @@
         workers,
         seed,
         strengths,
-        queues: [testQueue, ...otherQueues(queues)],
+        queues: [testQueue, ...unusedQueues(queues)],
     });
     await cell.clock.advance(2_000);
     for (let number = 1; number <= workers; number += 1) {
--- a/packages/stand-ins/src/shard/shardCell.ts
+++ b/packages/stand-ins/src/shard/shardCell.ts
@@ -67,7 +67,7 @@
 };
 
 /** Returns `count` queues that no job uses; each takes about 240 bytes in the configuration. */
-export const otherQueues = (count: number): readonly Queue[] =>
+export const unusedQueues = (count: number): readonly Queue[] =>
     Array.from({ length: count }, (_, index) => ({
         ...testQueue,
         key: `stages.example/others/${index}/`,
@@ -129,7 +129,7 @@
     /** Cuts a daemon off from its peers, the store or the workers. */
     cut(memberId: string, what: readonly ("peers" | "store" | "workers")[]): void;
     /** Restores all links of a daemon. */
-    mend(memberId: string): void;
+    restoreLinks(memberId: string): void;
     /** Whether the daemon's process runs, cut off or not. */
     isRunning(memberId: string): boolean;
     isCut(memberId: string, what: "peers" | "store" | "workers"): boolean;
@@ -140,15 +140,15 @@
     /** The newest version of the configuration. */
     version(): number;
     /** Writes the operator's request for a wave of upkeep. */
-    askUpkeep(wave: UpkeepWave): void;
+    requestUpkeep(wave: UpkeepWave): void;
     /** Removes the request for a wave of upkeep. */
     withdrawUpkeep(wave: number): void;
     /** State of a wave as written for the operator; undefined where none was written. */
     waveState(wave: number): string | undefined;
     /** Writes the entries of all workers to the platform's table. */
-    listWorkers(): void;
+    writeWorkerEntries(): void;
     /** Removes a worker's entry from the platform's table. */
-    unlist(workerId: string): void;
+    removeWorkerEntry(workerId: string): void;
     /** Crashes workers for a reason that is not one of their tasks; they come back at their addresses as new incarnations. */
     crashWorkers(workerIds: readonly string[]): void;
     /** Sets the capacity of workers to a share of the usual one; their entries change with the next heartbeats. */
@@ -179,7 +179,7 @@
 /** Calls between a daemon and its peers. */
 export interface PeerCalls {
     readonly sent: number;
-    readonly taken: number;
+    readonly received: number;
 }
 
 /** Options of a cell. */
@@ -188,7 +188,7 @@
     readonly workers: number;
     readonly seed: number;
     /** Probability that the first run of a task fails; 1 lets every run fail. */
-    readonly failOften?: number;
+    readonly failureRate?: number;
     /** Mean duration of a run; "estimated" takes the estimates of the steps, with a deviation of at most a fifth. */
     readonly durationMs?: number | "estimated";
     /** Capacity of each worker. */
@@ -202,9 +202,9 @@
     /** Whether VM calls with a lower fencing token than the VM has seen are refused. */
     readonly checksVmTokens?: boolean;
     /** Whether the members of a gang start work and end together, as on the users' workers; independent where this is left out. */
-    readonly breaksGangs?: boolean;
+    readonly runsGangsTogether?: boolean;
     /** Whether the advisor allows a step on a worker. */
-    readonly isGood?: (stepName: string, workerId: string) => boolean;
+    readonly isAllowed?: (stepName: string, workerId: string) => boolean;
     /** How long a crashed worker is down; as observed by users where this is left out. */
     readonly crashedDownMs?: number | undefined;
     /** Whether a worker restarts under the same ID after a crash or upkeep; under a new one where this is left out. */
@@ -212,7 +212,7 @@
     /** Whether workers refuse tickets of other incarnations; otherwise a later incarnation can carry out orders for an earlier one. */
     readonly checksTickets?: boolean;
     /** Capacity of restarted workers that keep their IDs; the usual one where this is left out. */
-    readonly nextCapacity?: Resources;
+    readonly restartCapacity?: Resources;
     /** Processor time that the daemons' work takes; none where this is left out. */
     readonly costs?: ProcessorCosts;
     /** A deliberate defect in every daemon's dependencies. */
@@ -316,7 +316,7 @@
         members: memberCount,
         workers: workerCount,
         seed,
-        failOften = 0,
+        failureRate = 0,
         durationMs = 800,
         capacity,
         queues = [testQueue],
@@ -324,12 +324,12 @@
         policies,
         strengths = [],
         checksVmTokens = true,
-        breaksGangs = false,
-        isGood = () => true,
+        runsGangsTogether = false,
+        isAllowed = () => true,
         crashedDownMs = usualDownMs,
         keepsIds = false,
         checksTickets = false,
-        nextCapacity,
+        restartCapacity,
         costs = noCosts,
         broken,
     }: ShardCellOptions,
@@ -381,7 +381,7 @@
 
     /** Restarts a worker under its ID; its first heartbeat writes its entry after a random delay. */
     const restartUnderId = (workerId: string): void => {
-        const entry = workers.restart(workerId, nextCapacity ?? capacity ?? workerCapacity);
+        const entry = workers.restart(workerId, restartCapacity ?? capacity ?? workerCapacity);
         if (entry !== undefined) {
             clock.setTimer(heartbeatMs * random.next(), () => {
                 const newest = workers.entryOf(workerId);
@@ -420,7 +420,7 @@
         heldOf,
         gangSize: taskName => {
             const { gang = false, count = 0 } = stepOf(taskName) ?? {};
-            return breaksGangs && gang ? count : 0;
+            return runsGangsTogether && gang ? count : 0;
         },
         onCrash: entry => {
             faultTracker.recordFault();
@@ -432,7 +432,7 @@
                 ? 3_600_000
                 : runMs(taskName) * (failsByItself(taskName, run) ? failureAtShare : 1),
             // Only first runs fail by chance: a job that exhausted its attempts by chance would prove nothing about the scheduler.
-            fails: (run === 1 || failOften === 1) && random.next() < failOften || failsByItself(taskName, run),
+            fails: (run === 1 || failureRate === 1) && random.next() < failureRate || failsByItself(taskName, run),
         }),
     });
     const workers = faultTracker.recordingCalls(fakeWorkers, [
@@ -456,9 +456,9 @@
         });
 
     const peerCalls = new Map<string, PeerCalls>();
-    const countCall = (memberId: string, { sent, taken }: PeerCalls): void => {
-        const before = peerCalls.get(memberId) ?? { sent: 0, taken: 0 };
-        peerCalls.set(memberId, { sent: before.sent + sent, taken: before.taken + taken });
+    const countCall = (memberId: string, { sent, received }: PeerCalls): void => {
+        const before = peerCalls.get(memberId) ?? { sent: 0, received: 0 };
+        peerCalls.set(memberId, { sent: before.sent + sent, received: before.received + received });
     };
 
     /** Delays an answer that arrives during a suspension until the VM resumes. */
@@ -482,8 +482,8 @@
 
     const peersOf = (from: string, incarnation: Incarnation): MemberPort => ({
         call: async (address, name, input, timeoutMs, longestMs = timeoutMs) => {
-            countCall(from, { sent: 1, taken: 0 });
-            countCall(address, { sent: 0, taken: 1 });
+            countCall(from, { sent: 1, received: 0 });
+            countCall(address, { sent: 0, received: 1 });
             const memberProcess = memberProcesses.get(address);
             if (!incarnation.alive) {
                 return new Promise<never>(() => {});
@@ -533,7 +533,7 @@
             const terms = adviceTermsOf(stepName);
             await wait((terms?.decideMs ?? 0) + (terms?.eachMs ?? 0) * workerIds.length);
             return {
-                good: workerIds.filter(workerId => isGood(stepName, workerId))
+                good: workerIds.filter(workerId => isAllowed(stepName, workerId))
                     .map(workerId => ({ workerId, ticket: ticketFor(stepName, workers.entryOf(workerId)) })),
                 validMs: terms?.validMs ?? 0,
             };
@@ -627,7 +627,7 @@
         memberProcesses.set(memberId, { member, handlers: member.handlers, incarnation, processor, suspension });
     };
 
-    const listWorkers = (): void => {
+    const writeWorkerEntries = (): void => {
         for (const [index, workerId] of workers.workerIds().entries()) {
             const isDown = keepsIds && workers.entryOf(workerId) === undefined;
             if (!replacedWorkerIds.has(workerId) && !isDown) {
@@ -659,7 +659,7 @@
         },
     });
     const vms = faultTracker.recordingCalls(fakeVms, ["setFault"]);
-    listWorkers();
+    writeWorkerEntries();
     let organisations = firstOrganisations;
     let newestVersion = 0;
     const capVersions: CapVersion[] = [];
@@ -823,7 +823,7 @@
                 store.setFault("hang", memberId);
             }
         },
-        mend: memberId => {
+        restoreLinks: memberId => {
             faultTracker.recordFault();
             cuts.delete(memberId);
             store.setFault("none", memberId);
@@ -831,17 +831,17 @@
         isRunning: memberId => memberProcesses.get(memberId)?.incarnation.alive === true,
         isCut,
         vms,
-        askUpkeep: wave => store.put("operator", `wave/${wave.number}`, wave),
+        requestUpkeep: wave => store.put("operator", `wave/${wave.number}`, wave),
         withdrawUpkeep: wave => store.remove("operator", `wave/${wave}`),
         waveState: wave => store.rows("status").find(row => row.key === `wave/${wave}`)?.value,
         configure,
         organisations: () => organisations ?? [],
         version: () => newestVersion,
-        listWorkers: () => {
+        writeWorkerEntries: () => {
             faultTracker.recordFault();
-            listWorkers();
+            writeWorkerEntries();
         },
-        unlist: workerId => {
+        removeWorkerEntry: workerId => {
             faultTracker.recordFault();
             store.remove("workers", workerId);
         },
@@ -929,7 +929,7 @@
                 evidence: workers.evidence,
                 workers: availableWorkers(),
                 heldOf,
-                isAllowed: isGood,
+                isAllowed,
                 ...(times === undefined ? {} : { roomFactor: times }),
             }),
     };
--- a/packages/stand-ins/src/shard/shardFaults.ts
+++ b/packages/stand-ins/src/shard/shardFaults.ts
@@ -8,7 +8,7 @@
 const cutOwner = (cell: ShardCell, what: readonly ("peers" | "store" | "workers")[]): () => void => {
     const owner = cell.owner() ?? "";
     cell.cut(owner, what);
-    return () => cell.mend(owner);
+    return () => cell.restoreLinks(owner);
 };
 
 /** Cuts daemons off from everything, also from each other; daemons behind one cut data centre could still reach each other. */
@@ -19,7 +19,7 @@
     }
     return () => {
         for (const memberId of others) {
-            cell.mend(memberId);
+            cell.restoreLinks(memberId);
         }
     };
 };
@@ -94,9 +94,9 @@
 
 const removeWorkerEntries = (cell: ShardCell): () => void => {
     for (const workerId of cell.workers.workerIds()) {
-        cell.unlist(workerId);
+        cell.removeWorkerEntry(workerId);
     }
-    return () => cell.listWorkers();
+    return () => cell.writeWorkerEntries();
 };
 
 /** Faults by name; each injects itself into the cell and returns the function that undoes it. */
@@ -122,12 +122,12 @@
         for (const memberId of targets) {
             cell.cut(memberId, ["store"]);
         }
-        return () => targets.forEach(memberId => cell.mend(memberId));
+        return () => targets.forEach(memberId => cell.restoreLinks(memberId));
     },
     "another cut from its peers": cell => {
         const other = cell.memberIds().find(memberId => memberId !== cell.owner()) ?? "";
         cell.cut(other, ["peers"]);
-        return () => cell.mend(other);
+        return () => cell.restoreLinks(other);
     },
     "two others cut off": cell => cutOthers(cell, 2),
     "owner and a third of the others killed": cell => {
@@ -198,7 +198,7 @@
     },
     "worker crashes": cell => {
         cell.workers.crash(cell.workers.workerIds()[0] ?? "");
-        return () => cell.unlist(cell.workers.workerIds()[0] ?? "");
+        return () => cell.removeWorkerEntry(cell.workers.workerIds()[0] ?? "");
     },
     "a worker crashes and is back": cell => crashWorkers(cell, 0),
     "half of the workers crash and are back": cell => crashWorkers(cell, 0.5),
--- a/packages/stand-ins/src/shard/shardLoad.ts
+++ b/packages/stand-ins/src/shard/shardLoad.ts
@@ -17,9 +17,9 @@
 /** Outcome of the jobs of one kind. */
 export interface LoadOutcome {
     /** Jobs submitted. */
-    readonly asked: number;
+    readonly submitted: number;
     /** Jobs done within the objective. */
-    readonly inTime: number;
+    readonly onTime: number;
     /** Jobs done after the objective. */
     readonly late: number;
     /** Jobs neither done nor refused by the end. */
@@ -75,10 +75,10 @@
 /** Creates a cell for a load. Its advisor allows each step on about `allowedPercent` percent of the workers, and on one at least. */
 export const createLoadCell = (
     kinds: readonly LoadKind[],
-    { workers, seed, goodPercent, policies }: {
+    { workers, seed, allowedPercent, policies }: {
         readonly workers: number;
         readonly seed: number;
-        readonly goodPercent: number;
+        readonly allowedPercent: number;
         readonly policies?: ShardPolicies;
     },
 ): ShardCell =>
@@ -90,8 +90,8 @@
         capacity: { cpuMillis: 64_000, memoryMib: 128_000, accelerators: 8 },
         queues: kinds.map(kind => kind.queue),
         ...(policies === undefined ? {} : { policies }),
-        isGood: (stepName, workerId) =>
-            hash(`${seed}|${stepName}|${workerId}`) % 100 < goodPercent
+        isAllowed: (stepName, workerId) =>
+            hash(`${seed}|${stepName}|${workerId}`) % 100 < allowedPercent
             || workerId === `worker-${hash(stepName) % workers}`,
     });
 
@@ -111,12 +111,12 @@
     const durationsMs = jobsOfKind.filter(job => doneTasks.get(job.jobId) === tasks)
         .map(job => (doneAtMs.get(job.jobId) ?? 0) - job.sentAtMs)
         .sort((left, right) => left - right);
-    const inTime = durationsMs.filter(each => each <= kind.objectiveMs).length;
+    const onTime = durationsMs.filter(each => each <= kind.objectiveMs).length;
     const refused = jobsOfKind.filter(job => answers.get(job.jobId) === "refused").length;
     return {
-        asked: jobsOfKind.length,
-        inTime,
-        late: durationsMs.length - inTime,
+        submitted: jobsOfKind.length,
+        onTime,
+        late: durationsMs.length - onTime,
         refused,
         open: jobsOfKind.length - durationsMs.length - refused,
         medianMs: Math.round(durationsMs[Math.floor(durationsMs.length / 2)] ?? 0),
--- a/packages/stand-ins/src/shard/standing.ts
+++ b/packages/stand-ins/src/shard/standing.ts
@@ -171,7 +171,7 @@
  * @example
  * assert.deepEqual(await findPersistentlyStalledTasks(cell), []);
  */
-export const findStanding = async (cell: ShardCell): Promise<readonly string[]> => {
+export const findPersistentlyStalledTasks = async (cell: ShardCell): Promise<readonly string[]> => {
     const sinceMs = cell.clock.monotonicMs();
     let stalled = cell.standing();
     for (let passedMs = 0; passedMs < longestWaitMs && stalled.length > 0; passedMs += pollIntervalMs) {
--- a/packages/stand-ins/src/shard/standingWatch.ts
+++ b/packages/stand-ins/src/shard/standingWatch.ts
@@ -9,9 +9,9 @@
 import { faultFreeBeforeMs, stallLimitMs } from "./standing.js";
 
 /** Result of watching a cell. */
-export interface StandingWatch {
+export interface StalledTaskWatch {
     /** One line for each task that was stalled for too long, with the time and the earlier runs of the task. */
-    stood(): readonly string[];
+    stalledTasks(): readonly string[];
 }
 
 const pollIntervalMs = 250;
@@ -37,7 +37,7 @@
  * await cell.clock.advance(20_000);
  * assert.deepEqual(watch.stalledTasks(), []);
  */
-export const watchStanding = (cell: ShardCell): StandingWatch => {
+export const watchStalledTasks = (cell: ShardCell): StalledTaskWatch => {
     const { clock, workers: { evidence } } = cell;
     const stalledSinceMs = new Map<string, number>();
     const reports = new Map<string, string>();
@@ -90,5 +90,5 @@
     };
 
     clock.setTimer(pollIntervalMs, poll);
-    return { stood: () => [...reports.values()] };
+    return { stalledTasks: () => [...reports.values()] };
 };
