--- a/packages/puffinarch/src/core/deputy.ts
+++ b/packages/puffinarch/src/core/deputy.ts
@@ -1,6 +1,7 @@
 /**
- * The other side of a session's authority: promises not to take over, and the fencing of sessions whose authority has
- * surely run out. Only the named deputy fences a session by lease; anyone may once that deputy is dead on evidence.
+ * The deputy's part in session leases: it promises other sessions not to take over from them, and fences sessions whose
+ * authority has certainly expired. Only the deputy that a session named in its row may fence it. Once that deputy itself
+ * is known to be dead, one other live session may.
  */
 
 import { sessionKey, type SessionRow } from "../types/ownership.js";
@@ -8,15 +9,19 @@
 import { pick } from "../utils/rendezvous.js";
 import type { Membership } from "./membership.js";
 
-/** Promises to sessions that named this one, and their fencing. */
+/** Gives promises to the sessions that named this one as their deputy, and fences expired sessions. */
 export interface Deputy {
-    /** Answers a session that named this one as its deputy; 0 where its renewals have stopped although the table answers. */
+    /**
+     * Promises a session that named this one as its deputy not to fence it for the returned number of milliseconds.
+     * Returns 0, for no promise, if this session has no authority itself, or if the other session is unknown, closed,
+     * being fenced or expired.
+     */
     promise(sessionId: string): number;
-    /** Fences every session that may be fenced now. */
+    /** Fences every expired session that this one may fence now. */
     fenceLapsed(): Promise<void>;
 }
 
-/** What a deputy needs. */
+/** Dependencies and settings of a deputy. */
 export interface DeputyOptions {
     readonly table: TableStore;
     readonly clock: Clock;
@@ -24,18 +29,19 @@
     readonly meter: Meter;
     readonly membership: Membership;
     readonly ownId: () => string;
-    /** Only a session that surely was not replaced itself may promise anything. */
+    /** Whether this session has authority; one that may have been fenced itself must not promise anything. */
     readonly mayAct: () => boolean;
     readonly sessionLeaseMs: number;
+    /** Length of a promise. */
     readonly promiseMs: number;
-    /** Added to every wait, for clocks that run at slightly different rates. */
+    /** Added to each wait, because the clocks of two daemons run at slightly different rates. */
     readonly marginMs: number;
 }
 
 const isOpen = ({ state }: SessionRow): boolean => state === "live" || state === "draining";
 
 /**
- * Makes the deputy side of a daemon.
+ * Creates the deputy of a daemon.
  *
  * @example
  * const promiseMs = deputy.promise("vm-2~1");
@@ -43,10 +49,10 @@
 export const createDeputy = (options: DeputyOptions): Deputy => {
     const { table, clock, log, meter, membership, ownId } = options;
     const promisedUntilMs = new Map<string, number>();
-    const fencing = new Set<string>();
+    const beingFenced = new Set<string>();
 
-    /** The row has stood still for a whole lease while the table was read all the time. */
-    const hasLapsed = (sessionId: string): boolean =>
+    /** True if the row did not change for a whole lease although the table was read without a gap. */
+    const hasExpired = (sessionId: string): boolean =>
         membership.unchangedForMs(sessionId) >= options.sessionLeaseMs + options.marginMs;
 
     const promise = (sessionId: string): number => {
@@ -54,7 +60,7 @@
         if (!options.mayAct()) {
             return 0;
         }
-        if (session === undefined || !isOpen(session) || fencing.has(sessionId) || hasLapsed(sessionId)) {
+        if (session === undefined || !isOpen(session) || beingFenced.has(sessionId) || hasExpired(sessionId)) {
             return 0;
         }
         promisedUntilMs.set(sessionId, clock.monotonicMs() + options.promiseMs + options.marginMs);
@@ -64,21 +70,24 @@
     const deputyIsDead = (session: SessionRow): boolean =>
         (membership.deadForMs(session.deputy) ?? -1) >= options.promiseMs + options.marginMs;
 
-    /** Once the deputy is dead, one live session is picked, of the same data centre where there is one. */
-    const isPicked = (session: SessionRow): boolean => {
+    /** Replaces a dead deputy: all daemons pick the same live session, in the same data centre if it has one. */
+    const isChosenToFence = (session: SessionRow): boolean => {
         const live = membership.liveSessions().filter(each => each.sessionId !== session.sessionId);
-        const near = live.filter(each => each.dataCentre === session.dataCentre);
-        return pick(session.sessionId, (near.length > 0 ? near : live).map(each => each.sessionId)) === ownId();
+        const inSameDataCentre = live.filter(each => each.dataCentre === session.dataCentre);
+        return pick(
+            session.sessionId,
+            (inSameDataCentre.length > 0 ? inSameDataCentre : live).map(each => each.sessionId),
+        ) === ownId();
     };
 
     const mayFence = (session: SessionRow): boolean => {
-        if (session.sessionId === ownId() || session.deputy === "" || !hasLapsed(session.sessionId)) {
+        if (session.sessionId === ownId() || session.deputy === "" || !hasExpired(session.sessionId)) {
             return false;
         }
         if (session.deputy === ownId()) {
             return clock.monotonicMs() >= (promisedUntilMs.get(session.sessionId) ?? 0);
         }
-        return deputyIsDead(session) && isPicked(session);
+        return deputyIsDead(session) && isChosenToFence(session);
     };
 
     const fence = async (session: SessionRow, version: number): Promise<void> => {
@@ -98,10 +107,10 @@
             for (const session of membership.sessions()) {
                 const version = membership.sessionVersion(session.sessionId);
                 if (!isOpen(session) || version === undefined || !mayFence(session)) {
-                    fencing.delete(session.sessionId);
+                    beingFenced.delete(session.sessionId);
                     continue;
                 }
-                fencing.add(session.sessionId);
+                beingFenced.add(session.sessionId);
                 await fence(session, version);
             }
         },
--- a/packages/puffinarch/src/core/membership.ts
+++ b/packages/puffinarch/src/core/membership.ts
@@ -1,78 +1,84 @@
 /**
- * What a daemon knows of the others: sessions and units as last read from the table, the lagging VM list, and the
- * latest gossip. A session counts as dead on evidence only: its VM was listed once and is gone, or a later
- * incarnation runs on its VM, or its row says that it was fenced or closed. Silence alone is never taken for death.
+ * A daemon's view of the cluster: sessions and units as last read from the table, the VM list, which lags, and the latest
+ * gossip of each daemon. A session is considered dead if its VM was listed and is no longer, if a later incarnation runs
+ * on its VM, or if its row is in the state fenced or closed. A session that only stops responding is not considered dead.
  */
 
 import type { SessionRow, UnitRow } from "../types/ownership.js";
 import type { Gossip } from "../types/peer.js";
 import type { Clock, TableRow, Vm, VmListing } from "../types/ports.js";
 
-/** A unit with the version of its row. */
+/** A unit's row with its version. The owner may be any session, or none. */
 export interface OwnedUnit extends UnitRow {
     readonly version: number;
 }
 
-/** Knowledge of the cluster, refreshed by `core/ownership.ts` and by gossip. */
+/** View of the cluster, updated by `core/ownership.ts` and by gossip. */
 export interface Membership {
     /**
-     * Takes what a scan returned; the scan was begun at this reading of the monotonic clock. The units are all there are,
-     * or all of one data centre.
+     * Replaces the sessions and units with the result of a scan that began at `begunAtMs` on the monotonic clock. With
+     * `dataCentre`, the scan read only the units of that data centre, and the units of others are kept.
      */
     setRows(sessions: readonly TableRow[], units: readonly TableRow[], begunAtMs: number, dataCentre?: string): void;
+    /** Replaces the VM list; ignored if its generation is lower than that of the current one. */
     setListing(listing: VmListing): void;
     setGossip(gossip: Gossip): void;
     listing(): VmListing;
     vm(vmId: string): Vm | undefined;
-    /** True where the VM was listed and is no more; such a VM never comes back. */
+    /** True if the VM was listed and no longer is; such a VM never returns. */
     vmGone(vmId: string): boolean;
-    /** Like `vmGone`, for a VM that another daemon saw in the list of that generation. */
+    /** Like `vmGone`, for a VM that another daemon read in the list of generation `listedGeneration`. */
     vmGoneSince(vmId: string, listedGeneration: number): boolean;
     sessions(): readonly SessionRow[];
+    /** Row of exactly this session; undefined if its VM has no row or one of another incarnation. */
     session(sessionId: string): SessionRow | undefined;
     /** Version of the session's row as last read. */
     sessionVersion(sessionId: string): number | undefined;
-    /** How long the row surely stood still while the table was read without a gap; 0 for an unknown session. */
+    /**
+     * How long the session's row has certainly not changed. 0 for an unknown session, and while the last scan is older than
+     * `maxReadGapMs`.
+     */
     unchangedForMs(sessionId: string): number;
-    /** Sessions that can be given work. */
+    /** Sessions in the state live that are not dead; they may be given work. */
     liveSessions(): readonly SessionRow[];
-    /** Milliseconds since the session was first known dead here; undefined while it may live. */
+    /** Milliseconds since this daemon found the session dead; undefined while the session may be alive. */
     deadForMs(sessionId: string): number | undefined;
     unit(key: string): OwnedUnit | undefined;
     units(): readonly OwnedUnit[];
-    /** Session that owns the unit, if it may be alive. */
+    /** Session that owns the unit; undefined if there is none or it is dead. */
     ownerOf(key: string): SessionRow | undefined;
+    /** Latest gossip of the session; undefined if it is older than `gossipMaxAgeMs`. */
     gossipOf(sessionId: string): Gossip | undefined;
-    /** Live sessions other than this one. */
+    /** Sessions of other VMs that are not dead, draining ones included. */
     peers(): readonly SessionRow[];
 }
 
-/** What membership needs. */
+/** Dependencies and settings of `createMembership`. */
 export interface MembershipOptions {
     readonly clock: Clock;
     readonly ownVmId: string;
     readonly gossipMaxAgeMs: number;
-    /** Reads further apart than this begin the watch on all sessions anew. */
+    /** After a longer gap between two scans, the time since which each session's row is unchanged counts anew. */
     readonly maxReadGapMs: number;
 }
 
-interface HeardGossip {
+interface ReceivedGossip {
     readonly gossip: Gossip;
-    readonly heardAtMs: number;
+    readonly receivedAtMs: number;
 }
 
-interface WatchedRow {
+interface ObservedRow {
     readonly version: number;
-    readonly sinceMs: number;
+    readonly unchangedSinceMs: number;
 }
 
-const noListing: VmListing = { generation: -1, vms: [] };
+const emptyListing: VmListing = { generation: -1, vms: [] };
 
 const vmIdOf = (sessionId: string): string => sessionId.slice(0, sessionId.lastIndexOf("~"));
 const incarnationOf = (sessionId: string): number => Number(sessionId.slice(sessionId.lastIndexOf("~") + 1));
 
 /**
- * Names a session: the VM and how often its daemon has started.
+ * Returns the id of a session, made of its VM's id and its incarnation, which counts the daemon's starts on that VM.
  *
  * @example
  * sessionIdOf("vm-1", 3); // "vm-1~3"
@@ -80,27 +86,27 @@
 export const sessionIdOf = (vmId: string, incarnation: number): string => `${vmId}~${incarnation}`;
 
 /**
- * Makes the knowledge of a daemon that knows nothing yet.
+ * Creates an empty view of the cluster.
  *
  * @example
  * const membership = createMembership({ clock, ownVmId: "vm-1", gossipMaxAgeMs: 3_000, maxReadGapMs: 3_000 });
  */
 export const createMembership = (options: MembershipOptions): Membership => {
     const { clock, ownVmId, gossipMaxAgeMs } = options;
-    let listing = noListing;
-    let watched = new Map<string, WatchedRow>();
-    let lastReadMs = -Infinity;
-    let lastBegunMs = -Infinity;
+    let listing = emptyListing;
+    let observedRows = new Map<string, ObservedRow>();
+    let lastScanEndedMs = -Infinity;
+    let lastScanBegunMs = -Infinity;
     let vmsById = new Map<string, Vm>();
-    const seenVmIds = new Set<string>();
+    const everListedVmIds = new Set<string>();
     let sessionsByVm = new Map<string, SessionRow>();
     let unitsByKey = new Map<string, OwnedUnit>();
     const deadSinceMs = new Map<string, number>();
-    const heard = new Map<string, HeardGossip>();
+    const gossipBySession = new Map<string, ReceivedGossip>();
 
-    const vmGone = (vmId: string): boolean => seenVmIds.has(vmId) && !vmsById.has(vmId);
+    const vmGone = (vmId: string): boolean => everListedVmIds.has(vmId) && !vmsById.has(vmId);
 
-    const goneByList = (session: SessionRow): boolean => {
+    const isGoneFromListing = (session: SessionRow): boolean => {
         const listedBefore = session.listedGeneration >= 0 && listing.generation >= session.listedGeneration;
         return vmGone(session.vmId) || (listedBefore && !vmsById.has(session.vmId));
     };
@@ -110,12 +116,12 @@
         if (session === undefined) {
             return vmGone(vmIdOf(sessionId));
         }
-        const replaced = session.incarnation > incarnationOf(sessionId);
-        const over = session.sessionId === sessionId && (session.state === "closed" || session.state === "fenced");
-        return replaced || over || goneByList(session);
+        const isReplaced = session.incarnation > incarnationOf(sessionId);
+        const hasEnded = session.sessionId === sessionId && (session.state === "closed" || session.state === "fenced");
+        return isReplaced || hasEnded || isGoneFromListing(session);
     };
 
-    const noteDeaths = (): void => {
+    const recordDeaths = (): void => {
         const known = new Set([...unitsByKey.values()].map(unit => unit.owner));
         for (const session of sessionsByVm.values()) {
             known.add(session.sessionId);
@@ -138,33 +144,36 @@
         return session?.sessionId === sessionId ? session : undefined;
     };
 
-    const watch = (sessions: readonly TableRow[], begunAtMs: number): void => {
+    const observeRows = (sessions: readonly TableRow[], begunAtMs: number): void => {
         const nowMs = clock.monotonicMs();
-        const gap = nowMs - lastReadMs > options.maxReadGapMs;
-        const next = new Map<string, WatchedRow>();
+        const hadReadGap = nowMs - lastScanEndedMs > options.maxReadGapMs;
+        const next = new Map<string, ObservedRow>();
         for (const { value, version } of sessions) {
             const { sessionId } = value as SessionRow;
-            const known = watched.get(sessionId);
-            next.set(sessionId, !gap && known?.version === version ? known : { version, sinceMs: nowMs });
+            const known = observedRows.get(sessionId);
+            next.set(
+                sessionId,
+                !hadReadGap && known?.version === version ? known : { version, unchangedSinceMs: nowMs },
+            );
         }
-        watched = next;
-        lastReadMs = nowMs;
-        lastBegunMs = begunAtMs;
+        observedRows = next;
+        lastScanEndedMs = nowMs;
+        lastScanBegunMs = begunAtMs;
     };
 
     return {
         setRows: (sessions, units, begunAtMs, dataCentre) => {
-            watch(sessions, begunAtMs);
+            observeRows(sessions, begunAtMs);
             sessionsByVm = new Map(sessions.map(row => {
                 const session = row.value as SessionRow;
                 return [session.vmId, session];
             }));
-            const kept = dataCentre === undefined
+            const retained = dataCentre === undefined
                 ? []
                 : [...unitsByKey].filter(([, unit]) => unit.dataCentre !== dataCentre);
             const read = units.map(row => [row.key, { ...(row.value as UnitRow), version: row.version }] as const);
-            unitsByKey = new Map([...kept, ...read]);
-            noteDeaths();
+            unitsByKey = new Map([...retained, ...read]);
+            recordDeaths();
         },
         setListing: next => {
             if (next.generation < listing.generation) {
@@ -173,12 +182,12 @@
             listing = next;
             vmsById = new Map(next.vms.map(vm => [vm.vmId, vm]));
             for (const vm of next.vms) {
-                seenVmIds.add(vm.vmId);
+                everListedVmIds.add(vm.vmId);
             }
-            noteDeaths();
+            recordDeaths();
         },
         setGossip: gossip => {
-            heard.set(gossip.sessionId, { gossip, heardAtMs: clock.monotonicMs() });
+            gossipBySession.set(gossip.sessionId, { gossip, receivedAtMs: clock.monotonicMs() });
         },
         listing: () => listing,
         vm: vmId => vmsById.get(vmId),
@@ -186,11 +195,11 @@
         vmGoneSince: (vmId, listedGeneration) => !vmsById.has(vmId) && listing.generation >= listedGeneration,
         sessions: () => [...sessionsByVm.values()],
         session: findSession,
-        sessionVersion: sessionId => watched.get(sessionId)?.version,
+        sessionVersion: sessionId => observedRows.get(sessionId)?.version,
         unchangedForMs: sessionId => {
-            const sinceMs = watched.get(sessionId)?.sinceMs;
-            const read = clock.monotonicMs() - lastReadMs <= options.maxReadGapMs;
-            return sinceMs === undefined || !read ? 0 : Math.max(0, lastBegunMs - sinceMs);
+            const sinceMs = observedRows.get(sessionId)?.unchangedSinceMs;
+            const isScanRecent = clock.monotonicMs() - lastScanEndedMs <= options.maxReadGapMs;
+            return sinceMs === undefined || !isScanRecent ? 0 : Math.max(0, lastScanBegunMs - sinceMs);
         },
         liveSessions: () => [...sessionsByVm.values()].filter(isLive),
         deadForMs: sessionId => {
@@ -204,8 +213,8 @@
             return owner === undefined || owner === "" || isDead(owner) ? undefined : findSession(owner);
         },
         gossipOf: sessionId => {
-            const entry = heard.get(sessionId);
-            return entry !== undefined && clock.monotonicMs() - entry.heardAtMs <= gossipMaxAgeMs
+            const entry = gossipBySession.get(sessionId);
+            return entry !== undefined && clock.monotonicMs() - entry.receivedAtMs <= gossipMaxAgeMs
                 ? entry.gossip
                 : undefined;
         },
--- a/packages/puffinarch/src/core/ownership.ts
+++ b/packages/puffinarch/src/core/ownership.ts
@@ -1,7 +1,8 @@
 /**
- * Who decides on what. Racks, upstreams and homes are units with one row each; a unit changes hands only by a
- * conditional transaction on its row, and only when its owner handed it over or is dead on evidence. Rendezvous
- * hashing over the live sessions of the data centre says who takes what, without a message.
+ * Assigns the units of a cell to daemons. A unit is a rack, an upstream or a home; one row of the table names the session
+ * that owns it. Ownership changes only by a conditional transaction on that row, and only after the owner handed the unit
+ * over or is known to be dead (see `core/membership.ts`). Each daemon computes by rendezvous hashing over the live
+ * sessions of the data centre which units it should own, so no messages are needed to agree on it.
  */
 
 import { sessionKey, type Unit, unitKey, type UnitKind, unitKinds, type UnitRow } from "../types/ownership.js";
@@ -12,15 +13,15 @@
 import type { Membership, OwnedUnit } from "./membership.js";
 import type { Session } from "./session.js";
 
-/** Acts on the units of one kind. */
+/** Handles the units of one kind while this daemon owns them. */
 export interface UnitKeeper {
-    /** The unit is this session's from now on. */
+    /** Called once this session owns the unit; starts to act on it. */
     gain(unit: OwnedUnit): Promise<void>;
-    /** Resolves once nothing of this session acts on the unit any more. */
+    /** Called when the unit is given up or lost; resolves once this daemon has stopped acting on it. */
     yield(unit: OwnedUnit): Promise<void>;
 }
 
-/** What ownership needs. */
+/** Dependencies and settings of `createOwnership`. */
 export interface OwnershipOptions {
     readonly table: TableStore;
     readonly vmList: VmList;
@@ -30,34 +31,38 @@
     readonly membership: Membership;
     readonly session: Session;
     readonly dataCentre: string;
-    /** A dead session's units are taken no earlier than this; longer than any of its messages can be under way. */
+    /** Wait before a dead session's units are claimed; has to exceed the longest time that its messages are in flight. */
     readonly deathGraceMs: number;
+    /** Handlers of the units, by kind. */
     readonly keepers: Readonly<Record<UnitKind, UnitKeeper>>;
 }
 
 /** The units that a daemon owns. */
 export interface Ownership {
-    /** Reads what others wrote and takes or hands over units; run at an interval. */
+    /** Reads the VM list and the rows of sessions and units, then claims units or hands one over; run at an interval. */
     refresh(): Promise<void>;
     owns(key: string): boolean;
     owned(kind: UnitKind): readonly OwnedUnit[];
-    /** Hands everything over and closes the session. */
+    /** Hands all units over and closes the session. */
     close(): Promise<void>;
-    /** Stops acting on everything at once, without a word to the table: another session has taken over. */
+    /** Stops acting on all units without writing to the table; for a session that was fenced. */
     abandon(): Promise<void>;
-    /** Stops acting on a unit that turned out to have another owner. */
+    /** Stops acting on a unit that another session owns by now, without writing to the table. */
     forfeit(key: string): void;
 }
 
-/** Up to this many units, all of them are read each time; beyond, those of other data centres once in a while. */
-const smallCellUnits = 500;
-const wholeEvery = 30;
-const retryMs = 200;
-const claimsPerTransaction = 8;
-const handOverTries = 25;
+/**
+ * With up to this many units, each scan reads all of them. With more, one scan in `scansPerFullScan` does, and the others
+ * read only the units of this data centre.
+ */
+const maxUnitsForFullScan = 500;
+const scansPerFullScan = 30;
+const retryDelayMs = 200;
+const maxClaimsPerTransaction = 8;
+const maxHandOverWrites = 25;
 
 /**
- * Makes the ownership of a daemon whose session is opened elsewhere.
+ * Creates the ownership of a daemon. The caller opens and renews the session.
  *
  * @example
  * const ownership = createOwnership(options);
@@ -66,15 +71,17 @@
 export const createOwnership = (options: OwnershipOptions): Ownership => {
     const { table, vmList, clock, log, meter, membership, session, dataCentre, keepers } = options;
     const owned = new Map<string, OwnedUnit>();
-    const handedOver = new Map<string, number>();
+    /** Row version of each unit that was handed over, from before that; a late read of such a row must not start the unit again. */
+    const handedOverVersions = new Map<string, number>();
     const ownId = session.id;
-    let reads = 0;
+    let scanCount = 0;
 
-    const readListing = async (): Promise<void> => membership.setListing(await vmList.list());
+    const refreshListing = async (): Promise<void> => membership.setListing(await vmList.list());
 
-    const wantedUnits = (): readonly Unit[] => {
+    /** Racks and upstreams of this data centre, the daemon's own home, and all known homes. */
+    const claimableUnits = (): readonly Unit[] => {
         const units = new Map<string, Unit>();
-        const want = (kind: UnitKind, name: string): void => {
+        const addUnit = (kind: UnitKind, name: string): void => {
             const key = unitKey(kind, dataCentre, name);
             units.set(key, { key, kind, dataCentre, name });
         };
@@ -83,13 +90,13 @@
                 continue;
             }
             if (vm.role === vmRoles.worker && vm.rack !== undefined) {
-                want(unitKinds.rack, vm.rack);
+                addUnit(unitKinds.rack, vm.rack);
             }
             if (vm.role === vmRoles.upstream) {
-                want(unitKinds.upstream, vm.vmId);
+                addUnit(unitKinds.upstream, vm.vmId);
             }
         }
-        want(unitKinds.home, ownId());
+        addUnit(unitKinds.home, ownId());
         for (const unit of membership.units()) {
             if (unit.kind === unitKinds.home) {
                 units.set(unit.key, unit);
@@ -98,17 +105,21 @@
         return [...units.values()];
     };
 
-    const chosenOwner = (unit: Unit): string | undefined => {
+    /**
+     * Session that should own the unit, in the unit's data centre. A home whose data centre has no live session may go to
+     * another one.
+     */
+    const preferredOwner = (unit: Unit): string | undefined => {
         const live = membership.liveSessions();
         if (unit.kind === unitKinds.home && unit.name === ownId()) {
             return ownId();
         }
-        const near = live.filter(each => each.dataCentre === unit.dataCentre);
-        const members = near.length > 0 || unit.kind !== unitKinds.home ? near : live;
-        return pick(unit.key, members.map(each => each.sessionId));
+        const inSameDataCentre = live.filter(each => each.dataCentre === unit.dataCentre);
+        const candidates = inSameDataCentre.length > 0 || unit.kind !== unitKinds.home ? inSameDataCentre : live;
+        return pick(unit.key, candidates.map(each => each.sessionId));
     };
 
-    const isFree = (unit: OwnedUnit | undefined): boolean => {
+    const isClaimable = (unit: OwnedUnit | undefined): boolean => {
         if (unit === undefined || unit.owner === "") {
             return true;
         }
@@ -117,10 +128,10 @@
     };
 
     const claim = async (units: readonly Unit[]): Promise<boolean> => {
-        const rows: readonly UnitRow[] = units.map(({ key, kind, dataCentre: place, name }) => ({
+        const rows: readonly UnitRow[] = units.map(({ key, kind, dataCentre: unitDataCentre, name }) => ({
             key,
             kind,
-            dataCentre: place,
+            dataCentre: unitDataCentre,
             name,
             owner: ownId(),
         }));
@@ -139,14 +150,16 @@
         return outcome === "committed";
     };
 
-    const claimFree = async (): Promise<boolean> => {
+    const claimUnowned = async (): Promise<boolean> => {
         if (session.row()?.state !== "live" || session.isFenced()) {
             return false;
         }
-        const wanted = wantedUnits().filter(unit => isFree(membership.unit(unit.key)) && chosenOwner(unit) === ownId());
+        const toClaim = claimableUnits().filter(unit =>
+            isClaimable(membership.unit(unit.key)) && preferredOwner(unit) === ownId()
+        );
         let claimed = false;
-        for (let start = 0; start < wanted.length; start += claimsPerTransaction) {
-            claimed = await claim(wanted.slice(start, start + claimsPerTransaction)) || claimed;
+        for (let start = 0; start < toClaim.length; start += maxClaimsPerTransaction) {
+            claimed = await claim(toClaim.slice(start, start + maxClaimsPerTransaction)) || claimed;
         }
         return claimed;
     };
@@ -154,9 +167,9 @@
     const handOver = async (unit: OwnedUnit): Promise<void> => {
         owned.delete(unit.key);
         await keepers[unit.kind].yield(unit);
-        const { key, kind, dataCentre: place, name } = unit;
-        const value: UnitRow = { key, kind, dataCentre: place, name, owner: "" };
-        for (let left = handOverTries; left > 0; left -= 1) {
+        const { key, kind, dataCentre: unitDataCentre, name } = unit;
+        const value: UnitRow = { key, kind, dataCentre: unitDataCentre, name, owner: "" };
+        for (let writesLeft = maxHandOverWrites; writesLeft > 0; writesLeft -= 1) {
             const { outcome } = await table.transact({
                 conditions: [{ key, version: unit.version }],
                 puts: [{ key, value }],
@@ -165,15 +178,16 @@
             if (outcome === "committed" || outcome === "conflict") {
                 break;
             }
-            await sleep(clock, retryMs);
+            await sleep(clock, retryDelayMs);
         }
-        handedOver.set(key, unit.version);
+        handedOverVersions.set(key, unit.version);
         log.write("info", "unitHandedOver", { unit: key });
     };
 
-    const handOverSurplus = async (): Promise<void> => {
+    /** Hands over at most one unit per call whose preferred owner is another session; homes stay where they are. */
+    const handOverMisplaced = async (): Promise<void> => {
         for (const unit of owned.values()) {
-            const chosen = chosenOwner(unit);
+            const chosen = preferredOwner(unit);
             if (unit.kind !== unitKinds.home && chosen !== undefined && chosen !== ownId()) {
                 await handOver(unit);
                 return;
@@ -181,7 +195,8 @@
         }
     };
 
-    const noteGains = async (): Promise<void> => {
+    /** Compares the rows with the units held here, and starts or stops acting on those that changed. */
+    const applyOwnership = async (): Promise<void> => {
         if (session.isFenced()) {
             return;
         }
@@ -195,7 +210,7 @@
                 }
                 continue;
             }
-            if (known === undefined && unit.version > (handedOver.get(unit.key) ?? -1)) {
+            if (known === undefined && unit.version > (handedOverVersions.get(unit.key) ?? -1)) {
                 owned.set(unit.key, unit);
                 log.write("info", "unitGained", { unit: unit.key });
                 await keepers[unit.kind].gain(unit);
@@ -203,22 +218,22 @@
         }
     };
 
-    const readRows = async (): Promise<void> => {
-        const begunAtMs = clock.monotonicMs();
-        const whole = membership.units().length <= smallCellUnits || reads % wholeEvery === 0;
-        const prefixes = whole ? ["unit/"] : Object.values(unitKinds).map(kind => unitKey(kind, dataCentre, ""));
+    const scanRows = async (): Promise<void> => {
+        const scanBegunAtMs = clock.monotonicMs();
+        const isFullScan = membership.units().length <= maxUnitsForFullScan || scanCount % scansPerFullScan === 0;
+        const prefixes = isFullScan ? ["unit/"] : Object.values(unitKinds).map(kind => unitKey(kind, dataCentre, ""));
         const [sessions, ...units] = await Promise.all(["session/", ...prefixes].map(prefix => table.scan(prefix)));
-        reads += 1;
-        membership.setRows(sessions ?? [], units.flat(), begunAtMs, whole ? undefined : dataCentre);
-        await noteGains();
+        scanCount += 1;
+        membership.setRows(sessions ?? [], units.flat(), scanBegunAtMs, isFullScan ? undefined : dataCentre);
+        await applyOwnership();
     };
 
     const refresh = async (): Promise<void> => {
-        await readListing().catch(() => log.write("debug", "vmListOut", {}));
-        await readRows();
-        await handOverSurplus();
-        if (await claimFree()) {
-            await readRows();
+        await refreshListing().catch(() => log.write("debug", "vmListOut", {}));
+        await scanRows();
+        await handOverMisplaced();
+        if (await claimUnowned()) {
+            await scanRows();
         }
     };
 
--- a/packages/puffinarch/src/core/session.ts
+++ b/packages/puffinarch/src/core/session.ts
@@ -1,6 +1,7 @@
 /**
- * A daemon's session: one row, renewed in the table, and the authority to act that hangs on it. The holder may act
- * while its last renewal is fresh or, when the table is out of reach, while its deputy has promised not to take over.
+ * A daemon's session: one row in the table, renewed at an interval, that authorises the daemon to act on its units.
+ * The authority lasts for a lease after the last renewal. While the table is unreachable, promises of the deputy not to
+ * take over extend it. A session that named no deputy keeps its authority until its row is fenced.
  */
 
 import { sessionKey, type SessionRow, type SessionState } from "../types/ownership.js";
@@ -11,27 +12,32 @@
 
 /** A daemon's own session. */
 export interface Session {
-    /** Writes the row once the VM list shows this VM; an earlier incarnation on this VM counts as dead from then on. */
+    /**
+     * Waits until the VM list shows this VM, then writes the row and resolves; retries until it succeeds. From then on,
+     * other daemons treat any earlier incarnation on this VM as dead.
+     */
     open(address: string): Promise<void>;
-    /** Fails with `unavailable` before the session is open. */
+    /** Id of the session; throws `unavailable` before the session is open. */
     id(): string;
+    /** The row as last written or read back; undefined before the session is open. */
     row(): SessionRow | undefined;
-    /** Version of the row as last written. */
+    /** Version of that row in the table. */
     version(): number;
+    /** True once the row was written for the first time; stays true after fencing. */
     isOpen(): boolean;
-    /** True once another session has taken this one over; it must be opened anew. */
+    /** True once another session has fenced this one; `open` then starts a new incarnation. */
     isFenced(): boolean;
-    /** Whether this session may act on what it owns now; asked before each send. */
+    /** Whether this session has the authority to act on its units now; checked before each send. */
     mayAct(): boolean;
-    /** Renews the row when it is due, or at once where another deputy has to be named. */
+    /** Renews the row once `renewIntervalMs` has passed, or immediately if another deputy has to be named. */
     renew(): Promise<void>;
-    /** Notes a promise of the deputy; it counts from when the gossip was sent. */
+    /** Records a deputy's promise of `promiseMs`; it counts from `sentAtMs`, when this session sent its gossip. */
     notePromise(from: string, sentAtMs: number, promiseMs: number): void;
-    /** Writes a state, with some tries. */
+    /** Writes a new state to the row; gives up silently after 25 attempts, 200 ms apart, or once fenced. */
     setState(state: SessionState): Promise<void>;
 }
 
-/** What a session needs. */
+/** Dependencies and settings of a session. */
 export interface SessionOptions {
     readonly table: TableStore;
     readonly vmList: VmList;
@@ -41,16 +47,16 @@
     readonly membership: Membership;
     readonly vmId: string;
     readonly dataCentre: string;
-    /** How long a renewal gives authority. */
+    /** Authority that one renewal gives, counted from when the write was sent. */
     readonly sessionLeaseMs: number;
     readonly renewIntervalMs: number;
 }
 
-const retryMs = 200;
-const stateTries = 25;
+const retryDelayMs = 200;
+const maxStateWrites = 25;
 
 /**
- * Makes a session that is not open yet.
+ * Creates a session; it has no row and no authority before `open`.
  *
  * @example
  * const session = createSession(options);
@@ -62,42 +68,42 @@
     let row: SessionRow | undefined;
     let version = 0;
     let fenced = false;
-    let tableUntilMs = -Infinity;
+    let leaseUntilMs = -Infinity;
     let promiseUntilMs = -Infinity;
     let renewedAtMs = -Infinity;
-    /** A write whose outcome is not known yet may have named another deputy. */
-    let uncertain = false;
+    /** True while a write with an unknown outcome may have named another deputy; promises do not count meanwhile. */
+    let deputyUncertain = false;
 
-    const accept = (next: SessionRow, writtenVersion: number, sentAtMs: number): void => {
+    const recordCommit = (next: SessionRow, writtenVersion: number, sentAtMs: number): void => {
         row = next;
         version = writtenVersion;
-        uncertain = false;
+        deputyUncertain = false;
         renewedAtMs = sentAtMs;
-        tableUntilMs = sentAtMs + options.sessionLeaseMs;
+        leaseUntilMs = sentAtMs + options.sessionLeaseMs;
     };
 
-    const isMine = (found: TableRow, next: SessionRow): boolean => {
+    const isOwnUnfencedRow = (found: TableRow, next: SessionRow): boolean => {
         const value = found.value as SessionRow;
         return value.sessionId === next.sessionId && value.state !== "fenced";
     };
 
-    const notFencedHere = (found: TableRow | undefined, next: SessionRow): boolean =>
-        found !== undefined && isMine(found, next);
+    const stillHoldsRow = (found: TableRow | undefined, next: SessionRow): boolean =>
+        found !== undefined && isOwnUnfencedRow(found, next);
 
-    /** After a conflict: the row is either an earlier write of this session, or another has fenced it. */
-    const settleConflict = async (next: SessionRow): Promise<void> => {
+    /** Reads the row after a conflict: an earlier write of this session took effect, or the session was fenced. */
+    const resolveConflict = async (next: SessionRow): Promise<void> => {
         const [found] = await table.read([key]);
-        if (!notFencedHere(found, next)) {
+        if (!stillHoldsRow(found, next)) {
             fenced = true;
             log.write("warn", "sessionFenced", { sessionId: next.sessionId });
             return;
         }
         row = found?.value as SessionRow;
         version = found?.version ?? version;
-        uncertain = false;
+        deputyUncertain = false;
     };
 
-    const write = async (next: SessionRow): Promise<boolean> => {
+    const writeRow = async (next: SessionRow): Promise<boolean> => {
         const sentAtMs = clock.monotonicMs();
         const result = await table.transact({
             conditions: [{ key, version }],
@@ -106,17 +112,17 @@
         });
         meter.count("sessionWrites");
         if (result.outcome === "committed") {
-            accept(next, result.version, sentAtMs);
+            recordCommit(next, result.version, sentAtMs);
             return true;
         }
-        uncertain ||= result.outcome === "unknown" && next.deputy !== row?.deputy;
+        deputyUncertain ||= result.outcome === "unknown" && next.deputy !== row?.deputy;
         if (result.outcome === "conflict") {
-            await settleConflict(next);
+            await resolveConflict(next);
         }
         return false;
     };
 
-    const begin = async (address: string): Promise<boolean> => {
+    const claimRow = async (address: string): Promise<boolean> => {
         const [found] = await table.read([key]);
         const incarnation = found === undefined ? 1 : (found.value as SessionRow).incarnation + 1;
         const next: SessionRow = {
@@ -138,7 +144,7 @@
         }
         fenced = false;
         promiseUntilMs = -Infinity;
-        accept(next, result.version, sentAtMs);
+        recordCommit(next, result.version, sentAtMs);
         return true;
     };
 
@@ -146,18 +152,21 @@
         for (;;) {
             try {
                 membership.setListing(await vmList.list());
-                if (membership.vm(vmId) !== undefined && await begin(address)) {
+                if (membership.vm(vmId) !== undefined && await claimRow(address)) {
                     return;
                 }
             }
             catch {
                 log.write("debug", "sessionWaits", { vmId });
             }
-            await sleep(clock, retryMs);
+            await sleep(clock, retryDelayMs);
         }
     };
 
-    /** The next live session of the data centre in order of ids; the present deputy is kept while it lives. */
+    /**
+     * The current deputy while it is live; otherwise the live session of this data centre that follows this one in the
+     * order of session ids, starting over at the end. Empty if there is none.
+     */
     const chooseDeputy = (own: SessionRow): string => {
         const others = membership.liveSessions().filter(each => each.dataCentre === dataCentre && each.vmId !== vmId)
             .map(each => each.sessionId).sort();
@@ -174,16 +183,16 @@
         const deputy = chooseDeputy(row);
         const isDue = clock.monotonicMs() - renewedAtMs >= options.renewIntervalMs;
         if (isDue || deputy !== row.deputy) {
-            await write({ ...row, deputy, beat: row.beat + 1 });
+            await writeRow({ ...row, deputy, beat: row.beat + 1 });
         }
     };
 
     const setState = async (state: SessionState): Promise<void> => {
-        for (let left = stateTries; left > 0 && row !== undefined && !fenced; left -= 1) {
-            if (await write({ ...row, state }).catch(() => false)) {
+        for (let triesLeft = maxStateWrites; triesLeft > 0 && row !== undefined && !fenced; triesLeft -= 1) {
+            if (await writeRow({ ...row, state }).catch(() => false)) {
                 return;
             }
-            await sleep(clock, retryMs);
+            await sleep(clock, retryDelayMs);
         }
     };
 
@@ -191,8 +200,8 @@
         if (row === undefined || fenced) {
             return false;
         }
-        const soleDaemon = row.deputy === "" && !uncertain;
-        return soleDaemon || clock.monotonicMs() < Math.max(tableUntilMs, promiseUntilMs);
+        const hasNoDeputy = row.deputy === "" && !deputyUncertain;
+        return hasNoDeputy || clock.monotonicMs() < Math.max(leaseUntilMs, promiseUntilMs);
     };
 
     return {
@@ -205,7 +214,7 @@
         mayAct,
         renew,
         notePromise: (from, sentAtMs, promiseMs) => {
-            if (row !== undefined && !uncertain && from === row.deputy && promiseMs > 0) {
+            if (row !== undefined && !deputyUncertain && from === row.deputy && promiseMs > 0) {
                 promiseUntilMs = Math.max(promiseUntilMs, sentAtMs + promiseMs);
             }
         },
