--- a/packages/puffinarch/src/core/attemptOwners.ts
+++ b/packages/puffinarch/src/core/attemptOwners.ts
@@ -1,4 +1,4 @@
-/** A home's calls to the owners of the racks that its attempts are in. */
+/** Calls of a home to the owners of the racks that its attempts run in. */
 
 import type { AttemptsRequest, AttemptsResponse, CallSession } from "../types/peer.js";
 import type { Log } from "../types/ports.js";
@@ -6,7 +6,7 @@
 import type { TaskEntry } from "./homeState.js";
 import type { Membership } from "./membership.js";
 
-/** Takes an owner's answer, with the tenure of each task's rack when the owner was asked. */
+/** Handles an owner's answer; `tenures` holds the tenure of each task's rack, by task id, from before the call. */
 export type OwnerAnswer = (
     tasks: readonly TaskEntry[],
     answer: AttemptsResponse,
@@ -15,25 +15,28 @@
 
 /** Calls to the owners of a home's attempts. */
 export interface AttemptOwners {
-    /** The owner of a rack and since which change of hands; undefined while there is none. */
+    /**
+     * Identifies one period of ownership of a rack by the owner's session id and the version of the rack's unit row;
+     * undefined while the rack has no owner that may be alive.
+     */
     tenureOf(rackKey: string | undefined): string | undefined;
-    /** One call to each owner; tasks whose rack has no owner are left out, and an owner's silence is logged. */
+    /** Makes one call to each owner; skips tasks whose rack has no owner, and logs calls that fail. */
     call(name: "start" | "stop" | "attemptStates", tasks: Iterable<TaskEntry>, onAnswer: OwnerAnswer): Promise<void>;
 }
 
-/** What the calls need. */
+/** Dependencies and settings of `createAttemptOwners`. */
 export interface AttemptOwnersOptions {
     readonly homeId: string;
     readonly homeVersion: number;
     readonly membership: Membership;
     readonly log: Log;
     readonly call: CallSession;
-    /** Starts that may have reached their owner although no answer came. */
+    /** Called with the attempts of a start call that may have reached the owner although it failed. */
     readonly onStartUnknown: (attemptIds: readonly string[]) => void;
 }
 
 /**
- * Makes the calls of one home.
+ * Creates the calls of one home.
  *
  * @example
  * await owners.call("stop", tasks, async () => {});
@@ -56,7 +59,7 @@
         ),
     });
 
-    const byOwner = (tasks: Iterable<TaskEntry>): ReadonlyMap<string, readonly TaskEntry[]> => {
+    const groupByOwner = (tasks: Iterable<TaskEntry>): ReadonlyMap<string, readonly TaskEntry[]> => {
         const groups = new Map<string, TaskEntry[]>();
         for (const task of tasks) {
             const owner = task.rackKey === undefined ? undefined : membership.ownerOf(task.rackKey);
@@ -70,7 +73,7 @@
         return groups;
     };
 
-    const callOne = async (
+    const callOwner = async (
         name: "start" | "stop" | "attemptStates",
         owner: string,
         tasks: readonly TaskEntry[],
@@ -93,7 +96,9 @@
     return {
         tenureOf,
         call: async (name, tasks, onAnswer) => {
-            await Promise.all([...byOwner(tasks)].map(([owner, group]) => callOne(name, owner, group, onAnswer)));
+            await Promise.all(
+                [...groupByOwner(tasks)].map(([owner, group]) => callOwner(name, owner, group, onAnswer)),
+            );
         },
     };
 };
--- a/packages/puffinarch/src/core/attempts.ts
+++ b/packages/puffinarch/src/core/attempts.ts
@@ -1,4 +1,4 @@
-/** Attempts and workers as their rack's owner keeps them. */
+/** The state that a rack owner keeps of its workers and their attempts. */
 
 import type { AttemptReport } from "../types/job.js";
 import type { AttemptState, TaskOffer } from "../types/peer.js";
@@ -30,33 +30,39 @@
     readonly worker: OwnedWorker;
     state: AttemptState;
     readonly reservedAtMs: number;
+    /** When the owner recorded the attempt or, if later, when the worker confirmed its start; monotonic clock. */
     confirmedAtMs: number;
-    /** On the worker's clock; after it, an attempt that the worker does not show never started. */
+    /** On the worker's clock. An attempt that the worker does not report after this time will never start. */
     startBeforeMs: number;
-    stopWanted: boolean;
+    stopRequested: boolean;
     throttled: boolean;
+    /** Usage in the worker's last report. */
     used: Resources;
+    /** Set once the attempt has ended. */
     report: AttemptReport | undefined;
 }
 
-/** One worker of a rack that is owned here. */
+/** One worker of a rack that this daemon owns. */
 export interface OwnedWorker {
     vm: Vm;
     readonly rackKey: string;
     state: WorkerState;
+    /** Consecutive polls that failed. */
     failures: number;
-    /** Lower bound of the worker's own clock, read at `clockReadAtMs`. */
+    /** The worker's own clock in its last report; a lower bound of that clock at `clockReadAtMs`, when the report arrived. */
     clockMs: number;
     clockReadAtMs: number;
+    /** Ended attempts to acknowledge to the worker in the next poll. */
     readonly acknowledge: Set<string>;
-    /** What the worker said that it runs, kept up to date by changes. */
+    /** Attempts that the worker reports as running, by id. */
     readonly shown: Map<string, RunningAttempt>;
+    /** Boot id and version of the last report; undefined before the first one. */
     seen: WorkerPoll["seen"];
     readonly attempts: Set<Attempt>;
     loop: Loop | undefined;
 }
 
-/** What identifies an attempt and says what it needs; the rest of an offer is for choosing a worker. */
+/** Identity and needs of an attempt; the other fields of an offer only serve to choose a worker. */
 export type AttemptParts = Pick<
     TaskOffer,
     "attemptId" | "taskId" | "size" | "payload" | "checkpoint" | "priority" | "preemptible"
@@ -64,21 +70,22 @@
 
 /** All attempts of one rack owner. */
 export interface Attempts {
+    /** Adds an attempt in this state to the worker. */
     track(worker: OwnedWorker, parts: AttemptParts, homeId: string, state: AttemptState): Attempt;
-    /** Gives back what it holds. */
+    /** Removes an attempt and releases the capacity that it holds. */
     forget(attempt: Attempt): void;
     find(attemptId: string): Attempt | undefined;
     all(): IterableIterator<Attempt>;
 }
 
 /**
- * Makes an empty table of attempts over a ledger.
+ * Creates an empty table of attempts whose capacity the ledger records.
  *
  * @example
  * const attempts = createAttempts(clock, ledger);
  */
 export const createAttempts = (clock: Clock, ledger: Ledger): Attempts => {
-    const byId = new Map<string, Attempt>();
+    const attemptsById = new Map<string, Attempt>();
     return {
         track: (worker, { attemptId, taskId, size, payload, checkpoint, priority, preemptible }, homeId, state) => {
             const attempt: Attempt = {
@@ -95,27 +102,28 @@
                 reservedAtMs: clock.monotonicMs(),
                 confirmedAtMs: clock.monotonicMs(),
                 startBeforeMs: Infinity,
-                stopWanted: false,
+                stopRequested: false,
                 throttled: false,
                 used: noResources,
                 report: undefined,
             };
-            byId.set(attemptId, attempt);
+            attemptsById.set(attemptId, attempt);
             worker.attempts.add(attempt);
             return attempt;
         },
         forget: attempt => {
             ledger.release(attempt.attemptId);
-            byId.delete(attempt.attemptId);
+            attemptsById.delete(attempt.attemptId);
             attempt.worker.attempts.delete(attempt);
         },
-        find: attemptId => byId.get(attemptId),
-        all: () => byId.values(),
+        find: attemptId => attemptsById.get(attemptId),
+        all: () => attemptsById.values(),
     };
 };
 
 /**
- * The parts of an attempt that was found running, about which only the worker knows.
+ * Fills in the fields of an attempt that a worker reports and that this owner did not start: it cannot be preempted, and its
+ * payload and checkpoint are left empty, since they serve only to start it.
  *
  * @example
  * attempts.track(worker, foundParts(running), running.homeId, "running");
--- a/packages/puffinarch/src/core/earmarks.ts
+++ b/packages/puffinarch/src/core/earmarks.ts
@@ -1,91 +1,97 @@
 /**
- * Workers that are kept free for one task: a large one that small ones would starve, or an urgent one that others were
- * stopped for. Bounded in number and time, so that a task which never comes back holds nothing for long.
+ * Earmarks: workers that accept no task but one, or the tasks of one gang. They serve a large task that smaller ones would
+ * starve, and an urgent one for which attempts were preempted. Earmarks are limited in number and expire, so that a task
+ * which is never offered again does not block a worker for long.
  */
 
 import type { Clock } from "../types/ports.js";
 import { add, fits, type Resources } from "../types/resources.js";
 
-/** The workers that are kept, by what they are kept for: a task, or a whole gang. */
+/** The earmarked workers. A `keepKey` is the id of the task, or the job id of the gang, that a worker is earmarked for. */
 export interface Earmarks {
     workersFor(keepKey: string): readonly string[];
-    isKept(workerId: string): boolean;
+    isEarmarked(workerId: string): boolean;
     /**
-     * Keeps a worker for work that waits since then. False where too many workers are kept already for work that waits
-     * as long: the oldest work wins everywhere, so that two gangs do not hold half of the workers each.
+     * Earmarks a worker for work that has waited since `sinceMs` on the monotonic clock, given the owner's number of
+     * workers. At the limit it replaces the earmark of the work that has waited least, if that has waited at least 500 ms less;
+     * otherwise it returns false. All owners prefer the oldest work, so that two gangs do not hold half of the workers each.
      */
     keep(keepKey: string, workerId: string, workers: number, sinceMs: number): boolean;
-    /** Answers the workers that are free again. */
+    /** Removes the earmarks for this key; returns their workers. */
     release(keepKey: string): readonly string[];
-    /** Releases what was kept too long. */
+    /** Removes the earmarks that have expired. */
     expire(): void;
 }
 
-/** What earmarks need. */
+/** Dependencies and settings of `createEarmarks`. */
 export interface EarmarksOptions {
     readonly clock: Clock;
+    /** Lifetime of an earmark. */
     readonly keptMs: number;
-    /** One worker in this many may be kept; at least one. */
+    /** One worker in this many may be earmarked, but always at least one. */
     readonly oneInWorkers: number;
 }
 
-interface Kept {
+interface Earmark {
     readonly keepKey: string;
     readonly sinceMs: number;
     readonly untilMs: number;
 }
 
-const clearlyOlderMs = 500;
+const minAgeAdvantageMs = 500;
 
 /**
- * Makes the earmarks of one rack owner.
+ * Creates the earmarks of one rack owner.
  *
  * @example
  * earmarks.keep("barrier-plan/0", "w1", 8, 0); // true
  */
 export const createEarmarks = ({ clock, keptMs, oneInWorkers }: EarmarksOptions): Earmarks => {
-    const byWorker = new Map<string, Kept>();
+    const earmarksByWorker = new Map<string, Earmark>();
 
     const workersFor = (keepKey: string): readonly string[] =>
-        [...byWorker].filter(([, kept]) => kept.keepKey === keepKey).map(([workerId]) => workerId);
+        [...earmarksByWorker].filter(([, earmark]) => earmark.keepKey === keepKey).map(([workerId]) => workerId);
 
-    /** Lets go of the worker that is kept for the youngest work, where that is younger. */
-    const makePlace = (keepKey: string, sinceMs: number): boolean => {
-        const others = [...byWorker].filter(([, kept]) => kept.keepKey !== keepKey);
+    /** Removes the earmark of the work that has waited least; false if that has waited nearly as long or longer. */
+    const evictYoungest = (keepKey: string, sinceMs: number): boolean => {
+        const others = [...earmarksByWorker].filter(([, earmark]) => earmark.keepKey !== keepKey);
         const [youngest] = others.sort(([, left], [, right]) => right.sinceMs - left.sinceMs);
-        if (youngest === undefined || youngest[1].sinceMs <= sinceMs + clearlyOlderMs) {
+        if (youngest === undefined || youngest[1].sinceMs <= sinceMs + minAgeAdvantageMs) {
             return false;
         }
-        return byWorker.delete(youngest[0]);
+        return earmarksByWorker.delete(youngest[0]);
     };
 
     return {
         workersFor,
-        isKept: workerId => byWorker.has(workerId),
+        isEarmarked: workerId => earmarksByWorker.has(workerId),
         keep: (keepKey, workerId, workers, sinceMs) => {
-            const most = Math.max(1, Math.floor(workers / oneInWorkers));
-            if (byWorker.has(workerId) || (byWorker.size >= most && !makePlace(keepKey, sinceMs))) {
+            const maxEarmarks = Math.max(1, Math.floor(workers / oneInWorkers));
+            if (
+                earmarksByWorker.has(workerId)
+                || (earmarksByWorker.size >= maxEarmarks && !evictYoungest(keepKey, sinceMs))
+            ) {
                 return false;
             }
-            byWorker.set(workerId, { keepKey, sinceMs, untilMs: clock.monotonicMs() + keptMs });
+            earmarksByWorker.set(workerId, { keepKey, sinceMs, untilMs: clock.monotonicMs() + keptMs });
             return true;
         },
         release: keepKey => {
             const released = workersFor(keepKey);
-            released.forEach(workerId => byWorker.delete(workerId));
+            released.forEach(workerId => earmarksByWorker.delete(workerId));
             return released;
         },
         expire: () => {
-            for (const [workerId, kept] of byWorker) {
-                if (clock.monotonicMs() >= kept.untilMs) {
-                    byWorker.delete(workerId);
+            for (const [workerId, earmark] of earmarksByWorker) {
+                if (clock.monotonicMs() >= earmark.untilMs) {
+                    earmarksByWorker.delete(workerId);
                 }
             }
         },
     };
 };
 
-/** An attempt that could be stopped. */
+/** An attempt that may be preempted. */
 export interface Victim {
     readonly attemptId: string;
     readonly size: Resources;
@@ -93,7 +99,8 @@
 }
 
 /**
- * Chooses the fewest and least urgent attempts whose end makes room on a worker; undefined where that is not enough.
+ * Chooses attempts of lower priority to stop until `size` fits on a worker with `free` left: the least urgent first, and
+ * the largest first within a priority. Undefined if it does not fit even without all of them.
  *
  * @example
  * victimsFor(size, free, attempts, 9)?.map(victim => victim.attemptId);
@@ -104,11 +111,11 @@
     attempts: readonly Victim[],
     priority: number,
 ): readonly Victim[] | undefined => {
-    const lower = attempts.filter(attempt => attempt.priority < priority)
+    const lessUrgent = attempts.filter(attempt => attempt.priority < priority)
         .sort((left, right) => left.priority - right.priority || right.size.cpuMillis - left.size.cpuMillis);
     const chosen: Victim[] = [];
     let room = free;
-    for (const victim of lower) {
+    for (const victim of lessUrgent) {
         if (fits(size, room)) {
             break;
         }
--- a/packages/puffinarch/src/core/ledger.ts
+++ b/packages/puffinarch/src/core/ledger.ts
@@ -1,48 +1,55 @@
 /**
- * The ledger of worker capacity: what each worker has, and what each attempt holds of it. It has one writer, the
- * owner of the rack, and refuses whatever would exceed a worker's capacity.
+ * The ledger of worker capacity: the capacity of each worker and the part of it that each attempt holds. Only the owner of
+ * the rack changes it. A reservation that would exceed a worker's free capacity is refused.
  */
 
 import { add, fits, noResources, type Resources, subtract } from "../types/resources.js";
 
-/** A worker as the ledger sees it. */
+/** A worker and its capacity at the time of the call. */
 export interface LedgerWorker {
     readonly workerId: string;
     readonly rack: string;
     readonly capacity: Resources;
+    /** Sum of what attempts hold. */
     readonly reserved: Resources;
+    /** Capacity less `reserved`; negative in a dimension where adopted or resized attempts exceed the capacity. */
     readonly free: Resources;
-    /** Only open workers are offered to policies. */
+    /** Whether the worker accepts any new attempt; placement policies choose among open workers only. */
     readonly open: boolean;
 }
 
 /** Capacity of one rack owner's workers. */
 export interface Ledger {
-    /** Adds a worker, closed, or changes the capacity of one. */
+    /** Adds a worker, closed at first, or changes the capacity of a known one. */
     addWorker(workerId: string, rack: string, capacity: Resources): void;
+    /** Removes a worker and releases what its attempts hold. */
     removeWorker(workerId: string): void;
     /** Opens or closes a worker for new attempts. */
     setOpen(workerId: string, open: boolean): void;
-    /** False, and no change, where it does not fit or the worker is closed; true again for the same attempt. */
+    /**
+     * Reserves capacity for an attempt. Returns false and changes nothing if the size does not fit, the worker is closed or
+     * unknown, or the attempt holds capacity of another worker. A repeated call for the same worker returns true.
+     */
     reserve(workerId: string, attemptId: string, size: Resources): boolean;
-    /** Like `reserve`, on a worker that is closed to all others. */
+    /** Like `reserve`, but also on a closed worker; for the task that the worker is earmarked for. */
     reserveClosed(workerId: string, attemptId: string, size: Resources): boolean;
-    /** Changes what an attempt holds, whether it fits or not. */
+    /** Changes what an attempt holds, even if that exceeds the worker's capacity. */
     resize(attemptId: string, size: Resources): void;
-    /** Records an attempt that a worker already runs, whether it fits or not. */
+    /** Records an attempt that a worker already runs, even if that exceeds the worker's capacity. */
     adopt(workerId: string, attemptId: string, size: Resources): void;
-    /** Harmless where the attempt holds nothing. */
+    /** Releases what an attempt holds; has no effect if it holds nothing. */
     release(attemptId: string): void;
     worker(workerId: string): LedgerWorker | undefined;
     workers(): readonly LedgerWorker[];
+    /** Id of the worker whose capacity the attempt holds. */
     holderOf(attemptId: string): string | undefined;
-    /** Open workers that have room in every dimension, least free processors first. */
+    /** Open workers on which the size fits, fewest free processors first, compared in steps of a quarter of a core. */
     candidates(size: Resources): Iterable<LedgerWorker>;
-    /** Open workers, most free processors first. */
+    /** Open workers on which the size fits, most free processors first, compared in the same steps. */
     emptiest(size: Resources): Iterable<LedgerWorker>;
     openWorkers(): readonly LedgerWorker[];
     openCount(): number;
-    /** The open worker at a place from 0 to `openCount() - 1`, in no order. */
+    /** The open worker at an index from 0 to `openCount() - 1`; the order is arbitrary and changes. */
     openAt(place: number): LedgerWorker | undefined;
 }
 
@@ -62,7 +69,7 @@
 const bucketCpuMillis = 250;
 
 /**
- * Makes an empty ledger. Open workers are kept in buckets by free processors, so that a choice looks at few of them.
+ * Creates an empty ledger. Open workers are indexed in buckets by free processors, so that a search visits few of them.
  *
  * @example
  * const ledger = createLedger();
@@ -108,7 +115,7 @@
         buckets[bucket]?.add(entry);
     };
 
-    const dropFromOpen = (entry: Entry): void => {
+    const removeFromOpen = (entry: Entry): void => {
         const last = openEntries.pop();
         if (last !== undefined && last !== entry) {
             openEntries[entry.openIndex] = last;
@@ -126,27 +133,27 @@
             entry.openIndex = openEntries.push(entry) - 1;
         }
         else {
-            dropFromOpen(entry);
+            removeFromOpen(entry);
         }
         reindex(entry);
     };
 
-    const hold = (entry: Entry, attemptId: string, size: Resources): void => {
+    const holdCapacity = (entry: Entry, attemptId: string, size: Resources): void => {
         entry.attempts.set(attemptId, size);
         holders.set(attemptId, entry);
         entry.reserved = add(entry.reserved, size);
         reindex(entry);
     };
 
-    const reserve = (entry: Entry | undefined, attemptId: string, size: Resources, evenClosed: boolean): boolean => {
+    const reserve = (entry: Entry | undefined, attemptId: string, size: Resources, allowClosed: boolean): boolean => {
         const holder = holders.get(attemptId);
         if (holder !== undefined) {
             return holder === entry;
         }
-        if (entry === undefined || (!entry.open && !evenClosed) || !fits(size, entry.free)) {
+        if (entry === undefined || (!entry.open && !allowClosed) || !fits(size, entry.free)) {
             return false;
         }
-        hold(entry, attemptId, size);
+        holdCapacity(entry, attemptId, size);
         return true;
     };
 
@@ -234,7 +241,7 @@
         adopt: (workerId, attemptId, size) => {
             const entry = entries.get(workerId);
             if (entry !== undefined && !holders.has(attemptId)) {
-                hold(entry, attemptId, size);
+                holdCapacity(entry, attemptId, size);
             }
         },
         release,
--- a/packages/puffinarch/src/core/quarantine.ts
+++ b/packages/puffinarch/src/core/quarantine.ts
@@ -1,35 +1,41 @@
 /**
- * Workers that fail every task they start. A worker is closed after failures in a row from more than one job, and
- * opened for one attempt at a time, at growing intervals, until one succeeds. Where nothing came to try it with, it is
- * opened whole, and one more failure closes it: a gang that needs the worker would wait for ever otherwise.
+ * Quarantine of workers on which every task fails. Consecutive failures of more than one job quarantine a worker. It is
+ * then probed with one attempt at a time, at growing intervals, until one succeeds. If no task arrives to probe it with
+ * within another interval, it leaves quarantine, and one more failure returns it there. Otherwise a gang that needs the
+ * worker would wait for ever.
  */
 
 import type { Clock } from "../types/ports.js";
 
-/** Whether a worker is trusted, shut out, or being tried. */
+/** `trusted` accepts any attempt, `quarantined` none, and `probing` one at a time. */
 export type Trust = "trusted" | "quarantined" | "probing";
 
-/** Trust in the workers of one rack owner. */
+/** Quarantine state of the workers of one rack owner. */
 export interface Quarantine {
+    /** Ends the quarantine and resets the count of failures. */
     noteSuccess(workerId: string): void;
+    /** Counts a failure; quarantines the worker, for twice as long each time, once the limits are reached. */
     noteFailure(workerId: string, jobId: string): void;
-    /** `probing` once the time for the next try has come. */
+    /** State of the worker now: `probing` once the delay since the last failure has passed, `trusted` after twice that. */
     trust(workerId: string): Trust;
+    /** Drops what is recorded about a worker that is no longer owned. */
     forget(workerId: string): void;
 }
 
-/** What quarantine needs. */
+/** Dependencies and settings of `createQuarantine`. */
 export interface QuarantineOptions {
     readonly clock: Clock;
-    /** Failures in a row until a worker is closed. */
+    /** Consecutive failures after which a worker is quarantined. */
     readonly failures: number;
-    /** Jobs that the failures must come from, so that one bad job closes no worker. */
+    /** Number of different jobs that have to fail, so that one faulty job quarantines no worker. */
     readonly jobs: number;
+    /** Delay before the first probe. */
     readonly firstProbeMs: number;
+    /** Longest delay before a probe. */
     readonly maxProbeMs: number;
 }
 
-interface TrustRecord {
+interface FailureRecord {
     failures: number;
     readonly jobs: Set<string>;
     probeAtMs: number;
@@ -37,20 +43,20 @@
 }
 
 /**
- * Makes the quarantine of one rack owner.
+ * Creates the quarantine of one rack owner.
  *
  * @example
  * quarantine.noteFailure("w1", "load-in-7");
- * quarantine.trust("w1"); // "trusted": one failure is not enough
+ * quarantine.trust("w1"); // "trusted", because one failure is below the limit
  */
 export const createQuarantine = (options: QuarantineOptions): Quarantine => {
     const { clock } = options;
-    const records = new Map<string, TrustRecord>();
+    const records = new Map<string, FailureRecord>();
 
-    const isClosed = (record: TrustRecord): boolean =>
+    const isQuarantined = (record: FailureRecord): boolean =>
         record.failures >= options.failures && record.jobs.size >= options.jobs;
 
-    const fresh = (): TrustRecord => ({
+    const newRecord = (): FailureRecord => ({
         failures: 0,
         jobs: new Set(),
         probeAtMs: 0,
@@ -62,18 +68,18 @@
             records.delete(workerId);
         },
         noteFailure: (workerId, jobId) => {
-            const record = records.get(workerId) ?? fresh();
+            const record = records.get(workerId) ?? newRecord();
             records.set(workerId, record);
             record.failures += 1;
             record.jobs.add(jobId);
-            if (isClosed(record)) {
+            if (isQuarantined(record)) {
                 record.probeDelayMs = Math.min(options.maxProbeMs, record.probeDelayMs * 2);
                 record.probeAtMs = clock.monotonicMs() + record.probeDelayMs;
             }
         },
         trust: workerId => {
             const record = records.get(workerId);
-            if (record === undefined || !isClosed(record)) {
+            if (record === undefined || !isQuarantined(record)) {
                 return "trusted";
             }
             const sinceProbeMs = clock.monotonicMs() - record.probeAtMs;
--- a/packages/puffinarch/src/core/rackOwner.ts
+++ b/packages/puffinarch/src/core/rackOwner.ts
@@ -1,6 +1,7 @@
 /**
- * The owner of racks: decides which worker takes a task, starts it there, renews its lease, and reports its end to
- * the task's home. A worker is offered for placing only after it has said what it already runs.
+ * The part of a daemon that owns racks: it reserves a worker for each task, starts the attempt there, renews the attempt's
+ * lease by polling the worker, and reports its end to the task's home. No task is placed on a worker before its first
+ * report, which lists the attempts that it already runs.
  */
 
 import { type PlacementChoice, placements } from "../plugins/placements.js";
@@ -34,27 +35,38 @@
 import { correctedSize, remediesFor } from "./usage.js";
 import { readReport } from "./workerReport.js";
 
-/** The part of a daemon that owns racks. */
+/**
+ * Owner of the workers of some racks. `place`, `start`, `release` and `stop` ignore requests of an earlier holder of a home,
+ * which have a lower `homeVersion` than a request received before.
+ */
 export interface RackOwner {
+    /** Handles the racks as units. */
     readonly keeper: UnitKeeper;
-    /** Adds workers that the VM list newly shows and removes those that are gone. */
+    /** Applies the VM list: adds new workers and removes those that are gone; also expires reservations and earmarks. */
     refresh(): void;
+    /** Reserves workers for offers; an offer without a placement in the result was refused. */
     place(request: PlaceRequest): readonly Placement[];
+    /** Starts reserved attempts; resolves with the state of each attempt, by id. */
     start(request: AttemptsRequest): Promise<Readonly<Record<string, AttemptState>>>;
-    /** Gives back reservations that were not started. */
+    /** Releases reservations that were not started, and the earmarks for `keepKeys`. */
     release(request: AttemptsRequest): void;
+    /** Stops attempts without a checkpoint; those that are only reserved end as `notStarted`. */
     stop(request: AttemptsRequest): Promise<void>;
+    /** State of each attempt, by id. */
     states(request: AttemptsRequest): Readonly<Record<string, AttemptState>>;
-    /** Everything known of a home; earlier holders of the home are shut out from then on. */
+    /** All attempts of a home. From then on, requests of earlier holders of the home are refused. */
     attemptsOfHome(request: HomeAttemptsRequest): HomeAttemptsResponse;
+    /** Capacity of the open workers, for gossip. */
     summary(): CapacitySummary;
+    /** All workers, for operators. */
     views(): readonly WorkerView[];
-    /** Sends reports that wait. */
+    /** Sends the reports that homes have not settled yet. */
     flushReports(): Promise<void>;
+    /** Stops polling the workers. */
     close(): Promise<void>;
 }
 
-/** What a rack owner needs. */
+/** Dependencies and settings of a rack owner. */
 export interface RackOwnerOptions {
     readonly clock: Clock;
     readonly random: Random;
@@ -63,37 +75,42 @@
     readonly workers: WorkerPort;
     readonly membership: Membership;
     readonly daemonId: () => string;
-    /** Whether this session may act now; asked before each send. */
+    /** Whether this session may act now; checked before each message to a worker. */
     readonly mayAct: () => boolean;
     readonly policyOf: (name: string) => Policy;
     readonly onDecision: (decision: Decision) => void;
-    /** Sends reports to the home's present holder; answers the attempts settled there. */
+    /** Sends reports to the home's current holder; resolves with the ids of the attempts that it settled. */
     readonly report: (homeId: string, reports: readonly AttemptReport[]) => Promise<readonly string[]>;
+    /** Lease of a running attempt; each poll of its worker renews it. */
     readonly leaseMs: number;
+    /** Longest time that a worker may hold a poll before it answers. */
     readonly pollWaitMs: number;
-    /** A start order is void this long after it was sent. */
+    /** A worker ignores a start order that is older than this. */
     readonly startValidityMs: number;
-    /** A reservation that is not started is given back after this. */
+    /** A reservation that is not started within this time is released. */
     readonly reservationMs: number;
-    /** A task that waited this long earns a worker that is kept free for it. */
+    /** A worker is earmarked for a task that has waited this long. */
     readonly starvationMs: number;
 }
 
 const failuresUntilUnreachable = 3;
 const pollPauseMs = 5;
-const undecidedWaitMs = 1_000;
+const unconfirmedStartPollWaitMs = 1_000;
 const failedPollPauseMs = 250;
 const failuresUntilQuarantine = 3;
 const jobsUntilQuarantine = 2;
 const firstProbeMs = 10_000;
 const maxProbeMs = 300_000;
 const earmarkMs = 10_000;
-const oneInWorkersKept = 4;
-/** A gang that has waited this long takes a worker that failed it; a probe opens a quarantined one after 10 s. */
-const gangRefusalMs = 15_000;
+const workersPerEarmark = 4;
+/**
+ * A gang that has waited this long accepts workers on which its tasks failed. Longer than the 10 s after which a quarantined
+ * worker is probed.
+ */
+const gangAvoidanceMs = 15_000;
 
 /**
- * Makes a rack owner that owns nothing yet.
+ * Creates a rack owner without racks.
  *
  * @example
  * const rackOwner = createRackOwner(options);
@@ -103,7 +120,7 @@
     const { clock, random, log, meter, workers, membership, mayAct } = options;
     const ledger = createLedger();
     const attempts = createAttempts(clock, ledger);
-    const earmarks = createEarmarks({ clock, keptMs: earmarkMs, oneInWorkers: oneInWorkersKept });
+    const earmarks = createEarmarks({ clock, keptMs: earmarkMs, oneInWorkers: workersPerEarmark });
     const quarantine = createQuarantine({
         clock,
         failures: failuresUntilQuarantine,
@@ -111,17 +128,17 @@
         firstProbeMs,
         maxProbeMs,
     });
-    const entries = new Map<string, OwnedWorker>();
+    const ownedWorkers = new Map<string, OwnedWorker>();
     const makeRoom = createRoomMaker({
         clock,
         meter,
         ledger,
         earmarks,
         attempts,
-        workers: entries,
+        workers: ownedWorkers,
         starvationMs: options.starvationMs,
-        onKept: () => [...entries.values()].forEach(each => refreshOpen(each)),
-        stop: (worker, attemptIds) => stopSoon(worker, attemptIds, true),
+        onKept: () => [...ownedWorkers.values()].forEach(each => updateOpen(each)),
+        stop: (worker, attemptIds) => stopInBackground(worker, attemptIds, true),
     });
     const racks = new Set<string>();
     const homeVersions = new Map<string, number>();
@@ -135,21 +152,25 @@
         },
     });
 
-    /** False for a holder of the home that has been replaced since. */
-    const admitHolder = ({ homeId, homeVersion }: HomeAttemptsRequest): boolean => {
-        const seen = homeVersions.get(homeId) ?? -1;
-        if (homeVersion < seen) {
+    /** Records the version of the home's holder; false if a later holder has already sent a request. */
+    const acceptHolder = ({ homeId, homeVersion }: HomeAttemptsRequest): boolean => {
+        const highestVersion = homeVersions.get(homeId) ?? -1;
+        if (homeVersion < highestVersion) {
             return false;
         }
         homeVersions.set(homeId, homeVersion);
         return true;
     };
 
-    const refreshOpen = (worker: OwnedWorker): void => {
+    const updateOpen = (worker: OwnedWorker): void => {
         const { vmId } = worker.vm;
-        const trust = quarantine.trust(vmId);
-        const trusted = trust === "trusted" || (trust === "probing" && worker.attempts.size === 0);
-        ledger.setOpen(vmId, worker.state === "live" && trusted && !earmarks.isKept(vmId) && racks.has(worker.rackKey));
+        const quarantineState = quarantine.trust(vmId);
+        const acceptsAttempts = quarantineState === "trusted"
+            || (quarantineState === "probing" && worker.attempts.size === 0);
+        ledger.setOpen(
+            vmId,
+            worker.state === "live" && acceptsAttempts && !earmarks.isEarmarked(vmId) && racks.has(worker.rackKey),
+        );
     };
 
     const setWorkerState = (worker: OwnedWorker, state: WorkerState): void => {
@@ -157,10 +178,10 @@
             log.write("info", "workerState", { workerId: worker.vm.vmId, from: worker.state, to: state });
             worker.state = state;
         }
-        refreshOpen(worker);
+        updateOpen(worker);
     };
 
-    const noteTrust = (attempt: Attempt, outcome: AttemptOutcome): void => {
+    const recordOutcome = (attempt: Attempt, outcome: AttemptOutcome): void => {
         const { vmId } = attempt.worker.vm;
         if (outcome === "completed") {
             quarantine.noteSuccess(vmId);
@@ -180,8 +201,8 @@
         }
         attempt.state = "ended";
         ledger.release(attempt.attemptId);
-        noteTrust(attempt, outcome);
-        refreshOpen(attempt.worker);
+        recordOutcome(attempt, outcome);
+        updateOpen(attempt.worker);
         attempt.report = { attemptId: attempt.attemptId, taskId: attempt.taskId, outcome, result, checkpoint };
         outbox.add(attempt);
     };
@@ -196,22 +217,25 @@
         }
     };
 
-    const stopSoon = (worker: OwnedWorker, attemptIds: readonly string[], checkpoint: boolean): void => {
+    const stopInBackground = (worker: OwnedWorker, attemptIds: readonly string[], checkpoint: boolean): void => {
         sendStops(worker, attemptIds, checkpoint).catch(error => {
             log.write("debug", "stopFailed", { workerId: worker.vm.vmId, ...failureOf(error) });
         });
     };
 
-    const confirm = (attempt: Attempt): void => {
+    const confirmRunning = (attempt: Attempt): void => {
         attempt.state = "running";
         attempt.confirmedAtMs = clock.monotonicMs();
-        if (attempt.stopWanted) {
-            stopSoon(attempt.worker, [attempt.attemptId], false);
+        if (attempt.stopRequested) {
+            stopInBackground(attempt.worker, [attempt.attemptId], false);
         }
     };
 
-    /** Follows usage: what is held grows with it, and what exceeds the worker is throttled or stopped. */
-    const followUsage = (worker: OwnedWorker): void => {
+    /**
+     * Adjusts reservations to the reported usage. If the total usage exceeds the worker's capacity, throttles or stops an
+     * attempt.
+     */
+    const applyUsage = (worker: OwnedWorker): void => {
         const running = [...worker.attempts].filter(attempt => attempt.state === "running");
         for (const attempt of running) {
             const corrected = correctedSize(attempt.size, attempt.used);
@@ -224,7 +248,7 @@
             meter.count(`remedies.${remedy.kind}`);
             log.write("info", "remedy", { workerId: worker.vm.vmId, ...remedy });
             if (remedy.kind === "stop") {
-                stopSoon(worker, [remedy.attemptId], true);
+                stopInBackground(worker, [remedy.attemptId], true);
             }
             else if (attempt !== undefined) {
                 attempt.throttled = true;
@@ -236,13 +260,13 @@
         }
     };
 
-    /** A worker that is not known yet is asked at once, and one with an undecided start soon. */
-    const waitFor = (worker: OwnedWorker): number => {
+    /** How long the worker may hold the poll: not at all before its first report, and briefly while a start is unconfirmed. */
+    const pollWaitMsFor = (worker: OwnedWorker): number => {
         if (worker.seen === undefined) {
             return 0;
         }
-        const undecided = [...worker.attempts].some(attempt => attempt.state === "starting");
-        return undecided ? Math.min(undecidedWaitMs, options.pollWaitMs) : options.pollWaitMs;
+        const hasUnconfirmedStart = [...worker.attempts].some(attempt => attempt.state === "starting");
+        return hasUnconfirmedStart ? Math.min(unconfirmedStartPollWaitMs, options.pollWaitMs) : options.pollWaitMs;
     };
 
     const poll = async (worker: OwnedWorker): Promise<void> => {
@@ -252,25 +276,26 @@
             seen: worker.seen,
             leaseMs: options.leaseMs,
             acknowledge: acknowledged,
-            waitMs: waitFor(worker),
+            waitMs: pollWaitMsFor(worker),
         });
-        if (entries.get(worker.vm.vmId) !== worker) {
+        if (ownedWorkers.get(worker.vm.vmId) !== worker) {
             return;
         }
         worker.clockMs = report.nowMs;
         worker.clockReadAtMs = clock.monotonicMs();
         worker.failures = 0;
-        const told = report.ended.length > 0
+        const onlyRepeats = report.ended.length > 0
             && report.ended.every(each => attempts.find(each.attemptId)?.state === "ended");
-        readReport({ ledger, attempts, onRunning: confirm, onEnded: endAttempt }, worker, report, sentAtMs);
+        readReport({ ledger, attempts, onRunning: confirmRunning, onEnded: endAttempt }, worker, report, sentAtMs);
         for (const attemptId of acknowledged) {
             worker.acknowledge.delete(attemptId);
         }
-        followUsage(worker);
+        applyUsage(worker);
         setWorkerState(worker, worker.vm.leaving ? "leaving" : "live");
         meter.count("workerPolls");
-        if (told) {
-            // A worker repeats what nobody has acknowledged at once; while homes cannot write, that would be all the time.
+        if (onlyRepeats) {
+            // The report held only ended attempts that were already known. The worker answers each poll immediately while
+            // it has unacknowledged ends, so without a pause this would be a busy loop as long as homes cannot write.
             await sleep(clock, failedPollPauseMs);
         }
     };
@@ -307,7 +332,7 @@
             attempts: new Set(),
             loop: undefined,
         };
-        entries.set(vm.vmId, worker);
+        ownedWorkers.set(vm.vmId, worker);
         ledger.addWorker(vm.vmId, vm.rack ?? "", vm.capacity ?? noResources);
         const run = (): Promise<void> => pollSafely(worker);
         worker.loop = startLoop({ clock, log, name: `poll ${vm.vmId}`, intervalMs: pollPauseMs, run });
@@ -315,12 +340,12 @@
 
     const removeWorker = (worker: OwnedWorker): void => {
         void worker.loop?.stop();
-        entries.delete(worker.vm.vmId);
+        ownedWorkers.delete(worker.vm.vmId);
         ledger.removeWorker(worker.vm.vmId);
         quarantine.forget(worker.vm.vmId);
     };
 
-    const removeGone = (worker: OwnedWorker): void => {
+    const removeGoneWorker = (worker: OwnedWorker): void => {
         log.write("warn", "workerGone", { workerId: worker.vm.vmId, attempts: worker.attempts.size });
         removeWorker(worker);
         for (const attempt of [...worker.attempts]) {
@@ -328,12 +353,12 @@
         }
     };
 
-    const noteListing = (vm: Vm): void => {
+    const applyListedVm = (vm: Vm): void => {
         const rackKey = vm.role === vmRoles.worker ? unitKey("rack", vm.dataCentre, vm.rack ?? "") : "";
         if (!racks.has(rackKey)) {
             return;
         }
-        const known = entries.get(vm.vmId);
+        const known = ownedWorkers.get(vm.vmId);
         if (known === undefined) {
             addWorker(vm, rackKey);
             return;
@@ -354,61 +379,64 @@
 
     const refresh = (): void => {
         for (const vm of membership.listing().vms) {
-            noteListing(vm);
+            applyListedVm(vm);
         }
         expireReservations();
         earmarks.expire();
-        for (const worker of [...entries.values()]) {
+        for (const worker of [...ownedWorkers.values()]) {
             if (membership.vmGone(worker.vm.vmId)) {
-                removeGone(worker);
+                removeGoneWorker(worker);
                 continue;
             }
-            refreshOpen(worker);
+            updateOpen(worker);
         }
     };
 
-    /** A worker that failed one member of a gang fails all of it again; other owners may have a better one. */
-    const refusesFor = ({ gang, avoid, waitedMs }: TaskOffer, workerId: string): boolean =>
-        gang && avoid.includes(workerId) && waitedMs < gangRefusalMs;
+    /**
+     * True if a task of this gang failed on the worker. Another failure there would end the whole gang again, and other
+     * owners may have better workers.
+     */
+    const isAvoidedByGang = ({ gang, avoid, waitedMs }: TaskOffer, workerId: string): boolean =>
+        gang && avoid.includes(workerId) && waitedMs < gangAvoidanceMs;
 
-    const takeKept = (offer: TaskOffer): OwnedWorker | undefined => {
+    const reserveEarmarked = (offer: TaskOffer): OwnedWorker | undefined => {
         for (const workerId of earmarks.workersFor(offer.keepKey)) {
-            const worker = entries.get(workerId);
+            const worker = ownedWorkers.get(workerId);
             if (
-                worker?.state === "live" && !refusesFor(offer, workerId)
+                worker?.state === "live" && !isAvoidedByGang(offer, workerId)
                 && ledger.reserveClosed(workerId, offer.attemptId, offer.size)
             ) {
-                releaseKept(offer);
+                releaseEarmarks(offer);
                 return worker;
             }
         }
         return undefined;
     };
 
-    /** A gang's workers stay kept until its last task has come or the time is up. */
-    const releaseKept = (offer: TaskOffer): void => {
+    /** Removes the earmarks for a task. Those for a gang stay until its home releases them or they expire. */
+    const releaseEarmarks = (offer: TaskOffer): void => {
         const released = offer.gang ? [] : earmarks.release(offer.keepKey);
         for (const workerId of released) {
-            const worker = entries.get(workerId);
+            const worker = ownedWorkers.get(workerId);
             if (worker !== undefined) {
-                refreshOpen(worker);
+                updateOpen(worker);
             }
         }
     };
 
-    const takeChosen = (offer: TaskOffer, choice: PlacementChoice): OwnedWorker | undefined => {
-        const worker = choice.worker === undefined ? undefined : entries.get(choice.worker.workerId);
-        if (worker === undefined || refusesFor(offer, worker.vm.vmId)) {
+    const reserveChosen = (offer: TaskOffer, choice: PlacementChoice): OwnedWorker | undefined => {
+        const worker = choice.worker === undefined ? undefined : ownedWorkers.get(choice.worker.workerId);
+        if (worker === undefined || isAvoidedByGang(offer, worker.vm.vmId)) {
             return undefined;
         }
         if (!ledger.reserve(worker.vm.vmId, offer.attemptId, offer.size)) {
             return undefined;
         }
-        releaseKept(offer);
+        releaseEarmarks(offer);
         return worker;
     };
 
-    const decide = (homeId: string, offer: TaskOffer): Placement | undefined => {
+    const placeOffer = (homeId: string, offer: TaskOffer): Placement | undefined => {
         const startedAtMs = clock.monotonicMs();
         const policy = options.policyOf(offer.policy);
         const { size, avoid } = offer;
@@ -419,7 +447,7 @@
             sampleSize: policy.sampleSize,
             avoid: new Set(avoid),
         });
-        const worker = takeKept(offer) ?? takeChosen(offer, choice);
+        const worker = reserveEarmarked(offer) ?? reserveChosen(offer, choice);
         const reason = worker === undefined
             ? makeRoom(offer) ?? "no worker of these racks has room"
             : `${policy.placement} among workers with room`;
@@ -439,16 +467,16 @@
             return undefined;
         }
         attempts.track(worker, offer, homeId, "reserved");
-        refreshOpen(worker);
+        updateOpen(worker);
         const listedGeneration = membership.listing().generation;
         return { attemptId: offer.attemptId, workerId: worker.vm.vmId, rackKey: worker.rackKey, listedGeneration };
     };
 
     const place = (request: PlaceRequest): readonly Placement[] => {
-        if (!mayAct() || !admitHolder(request)) {
+        if (!mayAct() || !acceptHolder(request)) {
             return [];
         }
-        return request.offers.flatMap(offer => decide(request.homeId, offer) ?? []);
+        return request.offers.flatMap(offer => placeOffer(request.homeId, offer) ?? []);
     };
 
     const startOne = async (attempt: Attempt): Promise<AttemptState> => {
@@ -465,23 +493,23 @@
             return attempt.state;
         }
         if (outcome === "started") {
-            confirm(attempt);
+            confirmRunning(attempt);
         }
         if (outcome === "refused") {
             attempts.forget(attempt);
-            refreshOpen(worker);
+            updateOpen(worker);
             return "notStarted";
         }
         return attempt.state;
     };
 
-    /** Only the rack's owner can say that an attempt is not there; another may not know where it is. */
-    const mayDeny = (rackKey: string): boolean => racks.has(rackKey) && mayAct();
+    /** Only the current owner of a rack may report an attempt as absent; another daemon may not know of it. */
+    const mayReportAbsent = (rackKey: string): boolean => racks.has(rackKey) && mayAct();
 
-    const startKnown = async ({ attemptId, rackKey }: Placement): Promise<AttemptState> => {
+    const startIfReserved = async ({ attemptId, rackKey }: Placement): Promise<AttemptState> => {
         const attempt = attempts.find(attemptId);
         if (attempt === undefined) {
-            return mayDeny(rackKey) ? "absent" : "undecided";
+            return mayReportAbsent(rackKey) ? "absent" : "undecided";
         }
         if (attempt.state !== "reserved") {
             return attempt.state;
@@ -494,17 +522,17 @@
     };
 
     const start = async (request: AttemptsRequest): Promise<Readonly<Record<string, AttemptState>>> => {
-        if (!admitHolder(request)) {
+        if (!acceptHolder(request)) {
             return {};
         }
         const states = await Promise.all(
-            request.attempts.map(async placement => [placement.attemptId, await startKnown(placement)] as const),
+            request.attempts.map(async placement => [placement.attemptId, await startIfReserved(placement)] as const),
         );
         return Object.fromEntries(states);
     };
 
     const release = (request: AttemptsRequest): void => {
-        if (!admitHolder(request)) {
+        if (!acceptHolder(request)) {
             return;
         }
         for (const { attemptId } of request.attempts) {
@@ -516,12 +544,12 @@
         for (const keepKey of request.keepKeys ?? []) {
             earmarks.release(keepKey);
         }
-        [...entries.values()].forEach(refreshOpen);
+        [...ownedWorkers.values()].forEach(updateOpen);
     };
 
     const stop = async (request: AttemptsRequest): Promise<void> => {
         const byWorker = new Map<OwnedWorker, string[]>();
-        if (!admitHolder(request)) {
+        if (!acceptHolder(request)) {
             return;
         }
         for (const { attemptId } of request.attempts) {
@@ -533,7 +561,7 @@
                 endAttempt(attempt, "notStarted", "", "");
                 continue;
             }
-            attempt.stopWanted = true;
+            attempt.stopRequested = true;
             byWorker.set(attempt.worker, [...(byWorker.get(attempt.worker) ?? []), attemptId]);
         }
         await Promise.all([...byWorker].map(([worker, attemptIds]) => sendStops(worker, attemptIds, false)));
@@ -544,22 +572,22 @@
         if (attempt !== undefined) {
             return attempt.state;
         }
-        const worker = entries.get(workerId);
+        const worker = ownedWorkers.get(workerId);
         if (worker === undefined) {
             return membership.vmGoneSince(workerId, listedGeneration) ? "absent" : "undecided";
         }
         if (worker.acknowledge.has(attemptId)) {
             return "ended";
         }
-        const asked = worker.state !== "recovering" && worker.state !== "unreachable";
-        return asked && mayDeny(rackKey) ? "absent" : "undecided";
+        const isReachable = worker.state !== "recovering" && worker.state !== "unreachable";
+        return isReachable && mayReportAbsent(rackKey) ? "absent" : "undecided";
     };
 
-    const isDecided = (rackKey: string): boolean =>
-        [...entries.values()].every(worker => worker.rackKey !== rackKey || worker.state !== "recovering");
+    const isRackDecided = (rackKey: string): boolean =>
+        [...ownedWorkers.values()].every(worker => worker.rackKey !== rackKey || worker.state !== "recovering");
 
     const attemptsOfHome = (request: HomeAttemptsRequest): HomeAttemptsResponse => {
-        admitHolder(request);
+        acceptHolder(request);
         const known = [...attempts.all()].filter(attempt => attempt.homeId === request.homeId);
         return {
             attempts: known.map(({ attemptId, taskId, worker, state }) => ({
@@ -570,25 +598,28 @@
                 listedGeneration: membership.listing().generation,
                 state,
             })),
-            decidedRacks: [...racks].filter(isDecided),
+            decidedRacks: [...racks].filter(isRackDecided),
         };
     };
 
-    /** A start order still under way could take effect unseen by the next owner; wait until each is decided or void. */
-    const settleStarts = async (leaving: readonly OwnedWorker[]): Promise<void> => {
+    /**
+     * Waits until each pending start order is confirmed or no longer valid. Otherwise one could take effect after the next
+     * owner has read what the worker runs.
+     */
+    const awaitPendingStarts = async (leaving: readonly OwnedWorker[]): Promise<void> => {
         const giveUpAtMs = clock.monotonicMs() + options.startValidityMs;
-        const underWay = (): boolean =>
+        const hasPendingStart = (): boolean =>
             leaving.some(worker => [...worker.attempts].some(attempt => attempt.state === "starting"));
-        while (underWay() && clock.monotonicMs() < giveUpAtMs) {
+        while (hasPendingStart() && clock.monotonicMs() < giveUpAtMs) {
             await sleep(clock, failedPollPauseMs);
         }
     };
 
-    const yieldRack = async (unit: OwnedUnit): Promise<void> => {
+    const releaseRack = async (unit: OwnedUnit): Promise<void> => {
         racks.delete(unit.key);
-        const leaving = [...entries.values()].filter(worker => worker.rackKey === unit.key);
-        leaving.forEach(refreshOpen);
-        await settleStarts(leaving);
+        const leaving = [...ownedWorkers.values()].filter(worker => worker.rackKey === unit.key);
+        leaving.forEach(updateOpen);
+        await awaitPendingStarts(leaving);
         for (const worker of leaving) {
             removeWorker(worker);
             for (const attempt of [...worker.attempts]) {
@@ -619,7 +650,7 @@
             free = add(free, worker.free);
             mostFree = worker.free.cpuMillis > mostFree.cpuMillis ? worker.free : mostFree;
         }
-        return { workers: entries.size, capacity, free, mostFree };
+        return { workers: ownedWorkers.size, capacity, free, mostFree };
     };
 
     return {
@@ -628,7 +659,7 @@
                 racks.add(unit.key);
                 refresh();
             },
-            yield: yieldRack,
+            yield: releaseRack,
         },
         refresh,
         place,
@@ -638,10 +669,10 @@
         states: ({ attempts: wanted }) => Object.fromEntries(wanted.map(each => [each.attemptId, stateOf(each)])),
         attemptsOfHome,
         summary,
-        views: () => [...entries.values()].map(viewOf),
+        views: () => [...ownedWorkers.values()].map(viewOf),
         flushReports: outbox.flush,
         close: async () => {
-            for (const worker of [...entries.values()]) {
+            for (const worker of [...ownedWorkers.values()]) {
                 removeWorker(worker);
             }
         },
--- a/packages/puffinarch/src/core/roomMaker.ts
+++ b/packages/puffinarch/src/core/roomMaker.ts
@@ -1,4 +1,7 @@
-/** Room for work that finds none: less urgent attempts are stopped for urgent work, and workers kept free for starved work. */
+/**
+ * What a rack owner does about an offer that no worker has room for: it preempts less urgent attempts for an urgent task,
+ * and earmarks a worker for a starved one.
+ */
 
 import type { TaskOffer } from "../types/peer.js";
 import type { Clock, Meter } from "../types/ports.js";
@@ -7,13 +10,13 @@
 import { type Earmarks, type Victim, victimsFor } from "./earmarks.js";
 import type { Ledger } from "./ledger.js";
 
-/** Priority from which a class's tasks may have others stopped. */
+/** Tasks of this priority or a higher one may preempt less urgent ones. */
 export const urgentPriority = 9;
 
-/** Makes room for an offer that was refused; answers what was done, or undefined. */
+/** Makes room for an offer that was refused; returns what it did as a reason for the decision, undefined if nothing. */
 export type RoomMaker = (offer: TaskOffer) => string | undefined;
 
-/** What a room maker needs. */
+/** Dependencies and settings of a room maker. */
 export interface RoomMakerOptions {
     readonly clock: Clock;
     readonly meter: Meter;
@@ -21,10 +24,11 @@
     readonly earmarks: Earmarks;
     readonly attempts: Attempts;
     readonly workers: ReadonlyMap<string, OwnedWorker>;
+    /** A task that has waited this long is starved. */
     readonly starvationMs: number;
-    /** Runs after a worker was kept, so that others are closed or opened. */
+    /** Called after a worker was earmarked, to close it for other tasks and open any worker whose earmark it replaced. */
     readonly onKept: () => void;
-    /** Stops attempts of a worker with a checkpoint. */
+    /** Saves a checkpoint of each attempt on the worker and stops it. */
     readonly stop: (worker: OwnedWorker, attemptIds: readonly string[]) => void;
 }
 
@@ -33,13 +37,15 @@
     readonly victims: readonly Victim[];
 }
 
-const preemptionLooks = 64;
+const maxPreemptionCandidates = 64;
 
-const victimsOn = (worker: OwnedWorker): readonly Victim[] =>
-    [...worker.attempts].filter(attempt => attempt.preemptible && attempt.state === "running" && !attempt.stopWanted);
+const preemptibleOn = (worker: OwnedWorker): readonly Victim[] =>
+    [...worker.attempts].filter(attempt =>
+        attempt.preemptible && attempt.state === "running" && !attempt.stopRequested
+    );
 
 /**
- * Makes the room maker of a rack owner.
+ * Creates the room maker of a rack owner.
  *
  * @example
  * const reason = makeRoom(offer) ?? "no worker of these racks has room";
@@ -47,46 +53,46 @@
 export const createRoomMaker = (options: RoomMakerOptions): RoomMaker => {
     const { clock, meter, ledger, earmarks, attempts, workers } = options;
 
-    const keepFree = (offer: TaskOffer, worker: OwnedWorker): boolean => {
+    const earmarkFor = (offer: TaskOffer, worker: OwnedWorker): boolean => {
         const sinceMs = clock.monotonicMs() - offer.waitedMs;
-        const kept = earmarks.keep(offer.keepKey, worker.vm.vmId, workers.size, sinceMs);
-        if (kept) {
+        const earmarked = earmarks.keep(offer.keepKey, worker.vm.vmId, workers.size, sinceMs);
+        if (earmarked) {
             options.onKept();
         }
-        return kept;
+        return earmarked;
     };
 
-    /** The worker where the fewest attempts have to give way. */
+    /** The worker on which the fewest attempts have to be stopped, among the first 64 open ones. */
     const choosePreemption = (offer: TaskOffer): Preemption | undefined => {
-        let best: Preemption | undefined;
-        let looks = 0;
+        let fewestVictims: Preemption | undefined;
+        let examined = 0;
         for (const worker of workers.values()) {
             const view = ledger.worker(worker.vm.vmId);
-            if (looks === preemptionLooks) {
+            if (examined === maxPreemptionCandidates) {
                 break;
             }
             if (view?.open !== true) {
                 continue;
             }
-            looks += 1;
-            const victims = victimsFor(offer.size, view.free, victimsOn(worker), offer.priority);
-            if (victims !== undefined && victims.length < (best?.victims.length ?? Infinity)) {
-                best = { worker, victims };
+            examined += 1;
+            const victims = victimsFor(offer.size, view.free, preemptibleOn(worker), offer.priority);
+            if (victims !== undefined && victims.length < (fewestVictims?.victims.length ?? Infinity)) {
+                fewestVictims = { worker, victims };
             }
         }
-        return best;
+        return fewestVictims;
     };
 
     const preempt = (offer: TaskOffer): string | undefined => {
         const chosen = choosePreemption(offer);
-        if (chosen === undefined || !keepFree(offer, chosen.worker)) {
+        if (chosen === undefined || !earmarkFor(offer, chosen.worker)) {
             return undefined;
         }
         const attemptIds = chosen.victims.map(victim => victim.attemptId);
         for (const attemptId of attemptIds) {
             const attempt = attempts.find(attemptId);
             if (attempt !== undefined) {
-                attempt.stopWanted = true;
+                attempt.stopRequested = true;
             }
         }
         options.stop(chosen.worker, attemptIds);
@@ -94,24 +100,27 @@
         return `${attemptIds.length} less urgent tasks of ${chosen.worker.vm.vmId} are stopped for it`;
     };
 
-    /** Keeps the worker with most room free until what runs there has ended, so that small tasks cannot take it all. */
-    const keepForStarved = (offer: TaskOffer): string | undefined => {
+    /**
+     * Earmarks the open worker with the most free processors whose capacity is large enough, until enough of its attempts
+     * have ended; otherwise smaller tasks would take the capacity that they free.
+     */
+    const earmarkForStarved = (offer: TaskOffer): string | undefined => {
         for (const view of ledger.emptiest(noResources)) {
             const worker = workers.get(view.workerId);
-            if (worker !== undefined && fits(offer.size, view.capacity) && keepFree(offer, worker)) {
+            if (worker !== undefined && fits(offer.size, view.capacity) && earmarkFor(offer, worker)) {
                 meter.count("earmarks");
-                return `${view.workerId} is kept free for it`;
+                return `${view.workerId} is earmarked for this task`;
             }
         }
         return undefined;
     };
 
     return offer => {
-        const kept = earmarks.workersFor(offer.keepKey);
-        if (kept.length > 0 && !offer.gang) {
-            return `${kept.join(", ")} is kept free for it`;
+        const earmarked = earmarks.workersFor(offer.keepKey);
+        if (earmarked.length > 0 && !offer.gang) {
+            return `${earmarked.join(", ")} is earmarked for this task`;
         }
         const urgent = offer.priority >= urgentPriority ? preempt(offer) : undefined;
-        return urgent ?? (offer.waitedMs >= options.starvationMs ? keepForStarved(offer) : undefined);
+        return urgent ?? (offer.waitedMs >= options.starvationMs ? earmarkForStarved(offer) : undefined);
     };
 };
--- a/packages/puffinarch/src/core/rooms.ts
+++ b/packages/puffinarch/src/core/rooms.ts
@@ -1,71 +1,80 @@
-/** A home's estimate of the room at each rack owner, from gossip, lowered by what it has just offered there. */
+/**
+ * A home's estimate of the free capacity at each rack owner: the last gossip, less the sizes of the tasks that the home has
+ * assigned to that owner since.
+ */
 
 import type { PlacementName } from "../plugins/placements.js";
 import type { Random } from "../types/ports.js";
 import { fits, type Resources, subtract } from "../types/resources.js";
 
-/** Estimated room of one rack owner. */
+/** Estimated free capacity of one rack owner. */
 export interface Room {
     readonly sessionId: string;
+    /** True if the owner is in the data centre of this daemon; such owners are preferred. */
     readonly near: boolean;
+    /** Sum over the owner's workers that accept any task. */
     readonly free: Resources;
+    /** Free capacity of the worker with the most free processors. */
     readonly mostFree: Resources;
 }
 
-/** Estimated room of all known rack owners. */
+/** Estimated free capacity of all known rack owners. */
 export interface Rooms {
-    /** Picks an owner for a task and lowers its room; undefined where nobody seems to have room. */
+    /**
+     * Picks an owner for a task and subtracts the task's size from its free capacity; undefined if no owner seems to have
+     * enough.
+     */
     choose(size: Resources, placement: PlacementName): string | undefined;
-    /** Leaves an owner out from now on, since it refused. */
+    /** Excludes an owner that refused a task. */
     refuse(sessionId: string): void;
-    /** Owners that have not refused. */
+    /** Session ids of the owners that are not excluded. */
     owners(): readonly string[];
 }
 
-type Order = (left: Room, right: Room) => number;
+type Comparator = (left: Room, right: Room) => number;
 
-const emptiestFirst: Order = (left, right) => right.free.cpuMillis - left.free.cpuMillis;
-const fullestFirst: Order = (left, right) => left.free.cpuMillis - right.free.cpuMillis;
-const anyOrder: Order = () => 0;
+const mostFreeCpuFirst: Comparator = (left, right) => right.free.cpuMillis - left.free.cpuMillis;
+const leastFreeCpuFirst: Comparator = (left, right) => left.free.cpuMillis - right.free.cpuMillis;
+const unordered: Comparator = () => 0;
 
-const orders: Readonly<Record<PlacementName, Order>> = {
-    bestFit: fullestFirst,
-    gang: fullestFirst,
-    worstFit: emptiestFirst,
-    firstFit: anyOrder,
-    randomOfK: anyOrder,
+const comparators: Readonly<Record<PlacementName, Comparator>> = {
+    bestFit: leastFreeCpuFirst,
+    gang: leastFreeCpuFirst,
+    worstFit: mostFreeCpuFirst,
+    firstFit: unordered,
+    randomOfK: unordered,
 };
 
 /**
- * Makes the estimate for one round of offers.
+ * Creates the estimates for one round of offers.
  *
  * @example
  * createRooms([], random).choose(noResources, "bestFit"); // undefined
  */
 export const createRooms = (known: readonly Room[], random: Random): Rooms => {
-    const rooms = new Map(known.map(room => [room.sessionId, room]));
+    const ownersById = new Map(known.map(room => [room.sessionId, room]));
 
     const candidates = (size: Resources): readonly Room[] => {
-        const open = [...rooms.values()].filter(room => fits(size, room.mostFree) && fits(size, room.free));
-        const near = open.filter(room => room.near);
-        return near.length > 0 ? near : open;
+        const fitting = [...ownersById.values()].filter(room => fits(size, room.mostFree) && fits(size, room.free));
+        const local = fitting.filter(room => room.near);
+        return local.length > 0 ? local : fitting;
     };
 
     return {
         choose: (size, placement) => {
-            const open = candidates(size);
-            const order = orders[placement];
-            const ordered = order === anyOrder ? open : [...open].sort(order);
-            const chosen = order === anyOrder ? ordered[Math.floor(random.next() * ordered.length)] : ordered[0];
+            const fitting = candidates(size);
+            const order = comparators[placement];
+            const ordered = order === unordered ? fitting : [...fitting].sort(order);
+            const chosen = order === unordered ? ordered[Math.floor(random.next() * ordered.length)] : ordered[0];
             if (chosen === undefined) {
                 return undefined;
             }
-            rooms.set(chosen.sessionId, { ...chosen, free: subtract(chosen.free, size) });
+            ownersById.set(chosen.sessionId, { ...chosen, free: subtract(chosen.free, size) });
             return chosen.sessionId;
         },
         refuse: sessionId => {
-            rooms.delete(sessionId);
+            ownersById.delete(sessionId);
         },
-        owners: () => [...rooms.keys()],
+        owners: () => [...ownersById.keys()],
     };
 };
--- a/packages/puffinarch/src/core/usage.ts
+++ b/packages/puffinarch/src/core/usage.ts
@@ -1,16 +1,21 @@
-/** What is done about attempts that use more than they declared; usage lags, so each step is small. */
+/**
+ * Remedies for attempts that use more resources than they declared. Reports of usage lag, so each call chooses few remedies
+ * and leaves the rest to the next report.
+ */
 
 import { add, largest, noResources, type Resources, subtract } from "../types/resources.js";
 
-/** An attempt with what it declared and what it was last seen to use. */
+/** An attempt with its declared and its last reported usage. */
 export interface UsedAttempt {
     readonly attemptId: string;
+    /** Declared need. */
     readonly size: Resources;
+    /** Usage in the worker's last report. */
     readonly used: Resources;
     readonly throttled: boolean;
 }
 
-/** What to do about one attempt. */
+/** Action on one attempt; `cpuMillis` is the limit that it is throttled to, in thousandths of a core. */
 export type Remedy =
     | { readonly kind: "throttle"; readonly attemptId: string; readonly cpuMillis: number; }
     | { readonly kind: "stop"; readonly attemptId: string; };
@@ -29,8 +34,9 @@
 };
 
 /**
- * Chooses remedies for one worker: processors over its capacity are throttled back to what was declared, memory over
- * its capacity stops the worst offender with a checkpoint. One remedy of each kind at a time, since usage lags.
+ * Chooses remedies for one worker. If its processors are over capacity, the attempt that exceeds its declared need most is
+ * throttled to that need. If its memory is over capacity, the attempt that exceeds its declared need most is stopped with a
+ * checkpoint. Each call returns at most one remedy of each kind, since reports of usage lag.
  *
  * @example
  * remediesFor(capacity, attempts); // [] while the worker is within its capacity
@@ -40,8 +46,8 @@
     const over = subtract(used, capacity);
     const remedies: Remedy[] = [];
     if (over.cpuMillis > 0) {
-        const open = attempts.filter(attempt => !attempt.throttled);
-        const worst = worstBy(open, attempt => attempt.used.cpuMillis - attempt.size.cpuMillis);
+        const unthrottled = attempts.filter(attempt => !attempt.throttled);
+        const worst = worstBy(unthrottled, attempt => attempt.used.cpuMillis - attempt.size.cpuMillis);
         if (worst !== undefined) {
             remedies.push({ kind: "throttle", attemptId: worst.attemptId, cpuMillis: worst.size.cpuMillis });
         }
@@ -56,7 +62,7 @@
 };
 
 /**
- * What an attempt is taken to need from now on: never less than it declared.
+ * Returns the size to reserve for an attempt: the larger of its declared need and its reported usage in each dimension.
  *
  * @example
  * correctedSize(size, noResources); // size
--- a/packages/puffinarch/src/core/workerReport.ts
+++ b/packages/puffinarch/src/core/workerReport.ts
@@ -1,4 +1,7 @@
-/** What a rack owner concludes from one report of a worker: which attempts run, which ended, and which never started. */
+/**
+ * Applies one report of a worker to its owner's attempts: finds those that run, those that have ended, and those that never
+ * started.
+ */
 
 import type { AttemptOutcome } from "../types/job.js";
 import type { WorkerReport } from "../types/ports.js";
@@ -6,14 +9,17 @@
 import { type Attempt, type Attempts, foundParts, type OwnedWorker } from "./attempts.js";
 import type { Ledger } from "./ledger.js";
 
-/** What reading a report changes. */
+/** State and handlers that a report is applied to. */
 export interface WorkerReportOptions {
     readonly ledger: Ledger;
     readonly attempts: Attempts;
+    /** Called for an attempt whose start was not confirmed before and that the worker runs. */
     readonly onRunning: (attempt: Attempt) => void;
+    /** Called for an attempt that has ended, is missing or never started. */
     readonly onEnded: (attempt: Attempt, outcome: AttemptOutcome, result: string, checkpoint: string) => void;
 }
 
+/** Updates the usage of running attempts, and records those that this owner did not know, such as an earlier owner's. */
 const adoptRunning = ({ ledger, attempts }: WorkerReportOptions, worker: OwnedWorker): void => {
     for (const running of worker.shown.values()) {
         const known = attempts.find(running.attemptId);
@@ -26,7 +32,7 @@
     }
 };
 
-const takeEnded = ({ attempts, onEnded }: WorkerReportOptions, worker: OwnedWorker, report: WorkerReport): void => {
+const processEnded = ({ attempts, onEnded }: WorkerReportOptions, worker: OwnedWorker, report: WorkerReport): void => {
     for (const { attemptId, taskId, homeId, outcome, result, checkpoint } of report.ended) {
         if (worker.acknowledge.has(attemptId)) {
             continue;
@@ -37,7 +43,10 @@
     }
 };
 
-/** Attempts that the worker should show and does not. */
+/**
+ * Confirms starts that the report shows. Ends attempts that it lacks: running ones that were confirmed before the poll was
+ * sent, and starting ones whose order is no longer valid on the worker's clock.
+ */
 const endMissing = (
     options: WorkerReportOptions,
     worker: OwnedWorker,
@@ -60,7 +69,7 @@
     }
 };
 
-/** Brings what a worker is known to run up to date with what its report says has changed. */
+/** Applies the report's changes to the last known set of running attempts. */
 const applyChanges = (worker: OwnedWorker, { complete, running, gone, bootId, version }: WorkerReport): void => {
     if (complete) {
         worker.shown.clear();
@@ -75,7 +84,8 @@
 };
 
 /**
- * Reads a report; `sentAtMs` is when the poll was sent, so that an attempt confirmed later is not missed in it.
+ * Applies a report to the owner's state. `sentAtMs` is when the poll was sent on the monotonic clock; an attempt confirmed
+ * after that may be absent from the report without having ended.
  *
  * @example
  * readReport(options, worker, report, sentAtMs);
@@ -87,7 +97,7 @@
     sentAtMs: number,
 ): void => {
     applyChanges(worker, report);
-    takeEnded(options, worker, report);
+    processEnded(options, worker, report);
     adoptRunning(options, worker);
     endMissing(options, worker, report, sentAtMs);
 };
