--- a/packages/puffinarch/src/core/router.ts
+++ b/packages/puffinarch/src/core/router.ts
@@ -1,4 +1,7 @@
-/** Where a caller's request goes: a free slot here, a peer with free slots (own data centre first), or the queue. */
+/**
+ * Routes callers' requests: to a free slot of an upstream that this daemon owns, else to a peer with free slots, preferably
+ * in the same data centre, else to the queue for this daemon's own slots, else to a peer without free slots.
+ */
 
 import type { SessionRow } from "../types/ownership.js";
 import type { Clock, Random } from "../types/ports.js";
@@ -6,24 +9,29 @@
 import type { Membership } from "./membership.js";
 import type { Slot, Slots } from "./slots.js";
 
-/** A slot of an upstream owned here, or a peer that owns one. */
+/** A slot of an upstream that this daemon owns, or a peer that owns upstreams of the service. */
 export type Route =
     | { readonly kind: "slot"; readonly slot: Slot; }
     | {
         readonly kind: "peer";
         readonly sessionId: string;
         readonly address: string;
+        /** Number of peers that own upstreams of the service. */
         readonly alternatives: number;
+        /** Has to be called once the peer has answered or failed. */
         done(): void;
     };
 
-/** Decides where requests go. */
+/** Chooses a route for each request. */
 export interface Router {
-    /** Fails with `notRun` or `overloaded`; a forwarded request is never forwarded again. */
+    /**
+     * Chooses a route; waits for one of this daemon's own slots until `giveUpAtMs` on the monotonic clock. Rejects with
+     * `notRun` or `overloaded`. A request that a peer forwarded is not forwarded again.
+     */
     route(service: string, forwarded: boolean, giveUpAtMs: number): Promise<Route>;
 }
 
-/** What a router needs. */
+/** Dependencies and settings of a router. */
 export interface RouterOptions {
     readonly clock: Clock;
     readonly random: Random;
@@ -32,53 +40,54 @@
     readonly dataCentre: string;
 }
 
-interface PeerRoom {
+interface PeerSlots {
     readonly session: SessionRow;
+    /** Free slots according to its gossip, less the requests that this daemon has in flight to it. */
     readonly free: number;
 }
 
 /**
- * Makes a router.
+ * Creates a router.
  *
  * @example
  * const route = await router.route("mesa-comun", false, clock.monotonicMs() + 1_000);
  */
 export const createRouter = ({ clock, random, slots, membership, dataCentre }: RouterOptions): Router => {
-    const underWay = new Map<string, number>();
+    const inFlight = new Map<string, number>();
 
-    const serving = (service: string): readonly PeerRoom[] => {
-        const rooms: PeerRoom[] = [];
+    const peersServing = (service: string): readonly PeerSlots[] => {
+        const peers: PeerSlots[] = [];
         for (const session of membership.peers()) {
             const gossip = membership.gossipOf(session.sessionId);
             const free = gossip?.freeSlots[service];
             if (free !== undefined && gossip?.draining === false) {
-                rooms.push({ session, free: free - (underWay.get(session.sessionId) ?? 0) });
+                peers.push({ session, free: free - (inFlight.get(session.sessionId) ?? 0) });
             }
         }
-        return rooms;
+        return peers;
     };
 
-    const forward = (rooms: readonly PeerRoom[], chosen: PeerRoom): Route => {
+    const forward = (peers: readonly PeerSlots[], chosen: PeerSlots): Route => {
         const { sessionId, address } = chosen.session;
-        underWay.set(sessionId, (underWay.get(sessionId) ?? 0) + 1);
+        inFlight.set(sessionId, (inFlight.get(sessionId) ?? 0) + 1);
         let open = true;
         return {
             kind: "peer",
             sessionId,
             address,
-            alternatives: rooms.length,
+            alternatives: peers.length,
             done: () => {
                 if (open) {
                     open = false;
-                    underWay.set(sessionId, (underWay.get(sessionId) ?? 1) - 1);
+                    inFlight.set(sessionId, (inFlight.get(sessionId) ?? 1) - 1);
                 }
             },
         };
     };
 
-    const leastLoadedOfTwo = (rooms: readonly PeerRoom[]): PeerRoom | undefined => {
-        const first = rooms[Math.floor(random.next() * rooms.length)];
-        const second = rooms[Math.floor(random.next() * rooms.length)];
+    const leastLoadedOfTwo = (peers: readonly PeerSlots[]): PeerSlots | undefined => {
+        const first = peers[Math.floor(random.next() * peers.length)];
+        const second = peers[Math.floor(random.next() * peers.length)];
         return (second?.free ?? 0) > (first?.free ?? 0) ? second : first;
     };
 
@@ -88,19 +97,19 @@
             if (slot !== undefined) {
                 return { kind: "slot", slot };
             }
-            const rooms = forwarded ? [] : serving(service);
-            const open = rooms.filter(room => room.free > 0);
-            const near = open.filter(room => room.session.dataCentre === dataCentre);
-            const chosen = leastLoadedOfTwo(near.length > 0 ? near : open);
+            const peers = forwarded ? [] : peersServing(service);
+            const withFreeSlots = peers.filter(peer => peer.free > 0);
+            const local = withFreeSlots.filter(peer => peer.session.dataCentre === dataCentre);
+            const chosen = leastLoadedOfTwo(local.length > 0 ? local : withFreeSlots);
             if (chosen !== undefined) {
-                return forward(rooms, chosen);
+                return forward(peers, chosen);
             }
             if (slots.serves(service)) {
                 return { kind: "slot", slot: await slots.take(service, giveUpAtMs) };
             }
-            const any = leastLoadedOfTwo(rooms);
-            if (any !== undefined) {
-                return forward(rooms, any);
+            const busyPeer = leastLoadedOfTwo(peers);
+            if (busyPeer !== undefined) {
+                return forward(peers, busyPeer);
             }
             const retryAfterMs = 1_000;
             return die("notRun", `no upstream of ${service} is known at ${clock.nowMs()}`, { retryAfterMs });
--- a/packages/puffinarch/src/core/slots.ts
+++ b/packages/puffinarch/src/core/slots.ts
@@ -1,6 +1,6 @@
 /**
- * Slots of the upstreams that this daemon owns. An upstream has one owner, so the owner's count is the whole count;
- * after a change of owner it starts from what the upstream itself says is still in use.
+ * Request slots of the upstreams that this daemon owns. Only the owner of an upstream assigns its slots, so the owner's
+ * count is complete. A new owner starts from the number of slots that the upstream itself reports as in use.
  */
 
 import { type UpstreamChoiceName, upstreamChoices } from "../plugins/upstreamChoices.js";
@@ -21,34 +21,43 @@
 /** One of `upstreamStates`. */
 export type UpstreamState = (typeof upstreamStates)[keyof typeof upstreamStates];
 
-/** One slot of one upstream, held until it is given back. */
+/** One slot of one upstream, held until `giveBack`. */
 export interface Slot {
     readonly upstreamId: string;
     readonly address: string;
+    /** Number of upstreams that the choice was made from. */
     readonly alternatives: number;
+    /** Frees the slot; further calls have no effect. */
     giveBack(): void;
-    /** Tells that the upstream refused the connection or said that it leaves. */
+    /** Changes the upstream's state after it refused a connection or announced that it leaves; ignored unless it is live. */
     mark(state: "unreachable" | "leaving"): void;
 }
 
-/** Slots of the upstreams owned here, and the queue for them. */
+/** Slots of the upstreams that this daemon owns, and one queue per service for them. */
 export interface Slots {
+    /** Handles the upstreams as units. */
     readonly keeper: UnitKeeper;
-    /** A free slot of this service at once, or undefined. */
+    /** Takes a slot of the service if one is free and this session may act. */
     tryTake(service: string): Slot | undefined;
-    /** Waits for a slot in a bounded queue; rejects with `notRun` at the deadline and `overloaded` when full. */
+    /**
+     * Takes a slot, waiting in a bounded queue if none is free. Rejects with `notRun` at `giveUpAtMs` on the monotonic clock
+     * and with `overloaded` if the queue is full.
+     */
     take(service: string, giveUpAtMs: number): Promise<Slot>;
     /** Free slots by service. */
     free(): Readonly<Record<string, number>>;
-    /** True where this daemon owns an upstream of the service that is not leaving. */
+    /** True if this daemon owns an upstream of the service that is not leaving. */
     serves(service: string): boolean;
+    /** Applies changes of the VM list to the upstreams. */
     refresh(): void;
+    /** Number of slots that this daemon's requests hold. */
     inUse(): number;
     views(daemonId: string): readonly UpstreamView[];
+    /** Stops the status requests to the upstreams. */
     close(): Promise<void>;
 }
 
-/** What slots need. */
+/** Dependencies and settings of `createSlots`. */
 export interface SlotsOptions {
     readonly clock: Clock;
     readonly random: Random;
@@ -56,13 +65,15 @@
     readonly meter: Meter;
     readonly upstreams: UpstreamPort;
     readonly membership: Membership;
-    /** Whether this session may act now; without it no slot is given. */
+    /** Whether this session may act now; no slot is assigned otherwise. */
     readonly mayAct: () => boolean;
+    /** How an upstream is chosen among those with free slots. */
     readonly choice: UpstreamChoiceName;
     readonly slotsPerUpstream: number;
+    /** Limit of each service's queue. */
     readonly maxQueued: number;
     readonly statusIntervalMs: number;
-    /** Resolves a hand-over even when requests still run; longer than any request may take. */
+    /** A hand-over waits at most this long for running requests; has to exceed the longest duration of a request. */
     readonly drainTimeoutMs: number;
 }
 
@@ -70,23 +81,23 @@
     vm: Vm;
     readonly upstreamId: string;
     state: UpstreamState;
-    /** Held by this owner's requests. */
+    /** Slots that requests of this owner hold. */
     slotsInUse: number;
-    /** Still held by requests of an earlier owner. */
-    foreignSlots: number;
+    /** Upper bound of the slots that requests of earlier owners still hold. */
+    inheritedSlots: number;
     loop: Loop | undefined;
 }
 
-interface Waiter {
+interface QueuedRequest {
     readonly resolve: (slot: Slot) => void;
     readonly cancelTimer: () => void;
 }
 
-const drainPollMs = 50;
+const drainCheckIntervalMs = 50;
 const retryAfterMs = 500;
 
 /**
- * Makes the slots of a daemon that owns no upstream yet.
+ * Creates the slots of a daemon, without any upstream.
  *
  * @example
  * const slot = await slots.take("mesa-comun", clock.monotonicMs() + 1_000);
@@ -95,21 +106,21 @@
 export const createSlots = (options: SlotsOptions): Slots => {
     const { clock, random, log, meter, upstreams, membership, slotsPerUpstream } = options;
     const entries = new Map<string, UpstreamEntry>();
-    const queues = new Map<string, Waiter[]>();
+    const queues = new Map<string, QueuedRequest[]>();
     let sequence = 0;
 
-    const freeOf = (entry: UpstreamEntry): number =>
-        entry.state === "live" ? Math.max(0, slotsPerUpstream - entry.slotsInUse - entry.foreignSlots) : 0;
+    const freeSlotsOf = (entry: UpstreamEntry): number =>
+        entry.state === "live" ? Math.max(0, slotsPerUpstream - entry.slotsInUse - entry.inheritedSlots) : 0;
 
     const setState = (entry: UpstreamEntry, state: UpstreamState): void => {
         if (entry.state !== state) {
             log.write("info", "upstreamState", { upstreamId: entry.upstreamId, from: entry.state, to: state });
             entry.state = state;
         }
-        serveWaiters(entry.vm.service ?? "");
+        serveQueue(entry.vm.service ?? "");
     };
 
-    const hold = (entry: UpstreamEntry, alternatives: number): Slot => {
+    const holdSlot = (entry: UpstreamEntry, alternatives: number): Slot => {
         let held = true;
         entry.slotsInUse += 1;
         sequence += 1;
@@ -121,7 +132,7 @@
                 if (held) {
                     held = false;
                     entry.slotsInUse -= 1;
-                    serveWaiters(entry.vm.service ?? "");
+                    serveQueue(entry.vm.service ?? "");
                 }
             },
             mark: state => {
@@ -138,24 +149,24 @@
         }
         const candidates: UpstreamEntry[] = [];
         for (const entry of entries.values()) {
-            if (entry.vm.service === service && freeOf(entry) > 0) {
+            if (entry.vm.service === service && freeSlotsOf(entry) > 0) {
                 candidates.push(entry);
             }
         }
         const chosen = upstreamChoices[options.choice]({ candidates, random, sequence });
-        return chosen === undefined ? undefined : hold(chosen, candidates.length);
+        return chosen === undefined ? undefined : holdSlot(chosen, candidates.length);
     };
 
-    const serveWaiters = (service: string): void => {
+    const serveQueue = (service: string): void => {
         const queue = queues.get(service);
         while (queue !== undefined && queue.length > 0) {
             const slot = tryTake(service);
             if (slot === undefined) {
                 return;
             }
-            const waiter = queue.shift();
-            waiter?.cancelTimer();
-            waiter?.resolve(slot);
+            const queuedRequest = queue.shift();
+            queuedRequest?.cancelTimer();
+            queuedRequest?.resolve(slot);
         }
     };
 
@@ -168,16 +179,22 @@
         queues.set(service, queue);
         if (queue.length >= options.maxQueued) {
             return Promise.reject(
-                errorOf({ kind: "overloaded", message: `too many requests wait for ${service}`, retryAfterMs }),
+                errorOf({ kind: "overloaded", message: `the queue for slots of ${service} is full`, retryAfterMs }),
             );
         }
         return new Promise((resolve, reject) => {
             const cancelTimer = clock.setTimer(Math.max(0, giveUpAtMs - clock.monotonicMs()), () => {
-                queue.splice(queue.indexOf(waiter), 1);
-                reject(errorOf({ kind: "notRun", message: `no slot of ${service} came free in time`, retryAfterMs }));
+                queue.splice(queue.indexOf(queuedRequest), 1);
+                reject(
+                    errorOf({
+                        kind: "notRun",
+                        message: `no slot of ${service} was free before the deadline`,
+                        retryAfterMs,
+                    }),
+                );
             });
-            const waiter: Waiter = { resolve, cancelTimer };
-            queue.push(waiter);
+            const queuedRequest: QueuedRequest = { resolve, cancelTimer };
+            queue.push(queuedRequest);
             meter.count("requestsQueued");
         });
     };
@@ -185,8 +202,9 @@
     const checkStatus = async (entry: UpstreamEntry): Promise<void> => {
         try {
             const status = await upstreams.status(entry.vm.address);
-            // Own requests may not have arrived yet, so none of what is in use can be taken for them.
-            entry.foreignSlots = Math.min(entry.foreignSlots, status.slotsInUse);
+            // Requests of this owner may not have reached the upstream yet, so its own slots are not subtracted from the
+            // reported number.
+            entry.inheritedSlots = Math.min(entry.inheritedSlots, status.slotsInUse);
             const leaving = status.leaving || entry.vm.leaving;
             setState(entry, leaving ? "leaving" : "live");
         }
@@ -196,7 +214,7 @@
         }
     };
 
-    const startStatus = (entry: UpstreamEntry): void => {
+    const startStatusLoop = (entry: UpstreamEntry): void => {
         const run = (): Promise<void> => checkStatus(entry);
         entry.loop = startLoop({
             clock,
@@ -207,7 +225,7 @@
         });
     };
 
-    const gain = async (unit: OwnedUnit): Promise<void> => {
+    const acquireUpstream = async (unit: OwnedUnit): Promise<void> => {
         const vm = membership.vm(unit.name);
         if (vm === undefined || entries.has(unit.name)) {
             return;
@@ -217,28 +235,28 @@
             upstreamId: unit.name,
             state: "recovering",
             slotsInUse: 0,
-            foreignSlots: slotsPerUpstream,
+            inheritedSlots: slotsPerUpstream,
             loop: undefined,
         };
         entries.set(unit.name, entry);
-        startStatus(entry);
+        startStatusLoop(entry);
     };
 
-    const drop = (entry: UpstreamEntry): void => {
+    const removeEntry = (entry: UpstreamEntry): void => {
         entries.delete(entry.upstreamId);
         void entry.loop?.stop();
     };
 
-    const yieldUpstream = async (unit: OwnedUnit): Promise<void> => {
+    const releaseUpstream = async (unit: OwnedUnit): Promise<void> => {
         const entry = entries.get(unit.name);
         if (entry === undefined) {
             return;
         }
         setState(entry, "leaving");
-        drop(entry);
+        removeEntry(entry);
         const giveUpAtMs = clock.monotonicMs() + options.drainTimeoutMs;
         while (entry.slotsInUse > 0 && clock.monotonicMs() < giveUpAtMs) {
-            await sleep(clock, drainPollMs);
+            await sleep(clock, drainCheckIntervalMs);
         }
     };
 
@@ -246,7 +264,7 @@
         for (const entry of [...entries.values()]) {
             const vm = membership.vm(entry.upstreamId);
             if (vm === undefined) {
-                drop(entry);
+                removeEntry(entry);
                 continue;
             }
             entry.vm = vm;
@@ -257,14 +275,14 @@
     };
 
     return {
-        keeper: { gain, yield: yieldUpstream },
+        keeper: { gain: acquireUpstream, yield: releaseUpstream },
         tryTake,
         take,
         free: () => {
             const free: Record<string, number> = {};
             for (const entry of entries.values()) {
                 const service = entry.vm.service ?? "";
-                free[service] = (free[service] ?? 0) + freeOf(entry);
+                free[service] = (free[service] ?? 0) + freeSlotsOf(entry);
             }
             return free;
         },
@@ -278,7 +296,7 @@
                 service: entry.vm.service ?? "",
                 dataCentre: entry.vm.dataCentre,
                 state: entry.state,
-                slotsInUse: entry.slotsInUse + entry.foreignSlots,
+                slotsInUse: entry.slotsInUse + entry.inheritedSlots,
                 slots: slotsPerUpstream,
                 ownerDaemonId: daemonId,
             })),
