--- a/packages/puffinarch/src/core/placer.ts
+++ b/packages/puffinarch/src/core/placer.ts
@@ -1,4 +1,7 @@
-/** Rounds of offers: waiting tasks go to rack owners, and what they reserve is handed on to be committed and started. */
+/**
+ * Places waiting tasks in rounds. Each round takes tasks from the queue, offers them to rack owners and commits the
+ * reservations that the owners make.
+ */
 
 import type { Policy } from "../types/configuration.js";
 import type { JobSpec } from "../types/job.js";
@@ -11,39 +14,42 @@
 import { createRooms, type Room, type Rooms } from "./rooms.js";
 import { type QueueItem, shapeKey, type TaskQueue } from "./taskQueue.js";
 
-/** A task with the reservation that an owner made for it. */
+/** A task with the reservation that a rack owner made for it. */
 export interface Reserved {
     readonly task: TaskEntry;
     readonly placement: Placement;
 }
 
-/** Places what waits in a home's queue. */
+/** Places the tasks in a home's queue. */
 export interface Placer {
-    /** Offers what waits; answers how many tasks were placed. */
+    /** Offers up to 256 queued items; resolves with the number of tasks placed. */
     round(): Promise<number>;
 }
 
-/** What a placer needs. */
+/** Dependencies and settings of a placer. */
 export interface PlacerOptions {
     readonly queue: TaskQueue;
     readonly clock: Clock;
     readonly random: Random;
     readonly newAttemptId: (taskId: string) => string;
     readonly policyOf: (name: string) => Policy;
-    /** Rack owners that can be offered tasks now. */
+    /** Rack owners that tasks can be offered to now, with their estimated free capacity. */
     readonly rooms: () => readonly Room[];
-    /** True where the team's quota leaves room for this much more. */
+    /** True if the team's quota allows this much more. */
     readonly withinQuota: (team: string, size: Resources) => boolean;
-    /** What the team's tasks of this home hold, for fairness between teams. */
+    /** Thousandths of a core that the team's active tasks of this home hold; teams that hold less come first. */
     readonly useOf: (team: string) => number;
-    /** Counts a size into the team's use until the next round. */
+    /** Adds a size to the team's usage until the next round. */
     readonly addUse: (team: string, size: Resources) => void;
-    /** Offers tasks to an owner; answers its reservations, none where it is out of reach. */
+    /** Offers tasks to an owner; resolves with its reservations, with none if it does not respond. */
     readonly offer: (owner: string, offers: readonly TaskOffer[]) => Promise<readonly Placement[]>;
+    /** Returns reservations to an owner and removes the earmarks for these keys there. */
     readonly release: (owner: string, placements: readonly Placement[], keepKeys: readonly string[]) => Promise<void>;
+    /** Commits the reservations to the journal and has the tasks started. */
     readonly commit: (reserved: readonly Reserved[], gang: boolean) => Promise<void>;
+    /** False for a task that has been cancelled or placed since it was queued. */
     readonly isWaiting: (task: TaskEntry) => boolean;
-    /** From this wait on, a task is offered even where no room is known, so that room is made for it. */
+    /** A task that has waited this long is offered even to an owner without free capacity, which then makes room for it. */
     readonly starvationMs: number;
 }
 
@@ -53,17 +59,17 @@
     readonly offer: TaskOffer;
 }
 
-interface Held extends Reserved {
+interface OwnedReservation extends Reserved {
     readonly owner: string;
 }
 
-const itemsPerRound = 256;
-const baseRestMs = 100;
-const maxGangRestMs = 500;
-const quotaRestMs = 500;
+const maxItemsPerRound = 256;
+const baseBackoffMs = 100;
+const maxGangBackoffMs = 500;
+const quotaBackoffMs = 500;
 
 /**
- * Makes a placer over a queue.
+ * Creates a placer for a queue.
  *
  * @example
  * const placed = await placer.round();
@@ -71,25 +77,26 @@
 export const createPlacer = (options: PlacerOptions): Placer => {
     const { queue, clock, random } = options;
 
-    /** When a task of each shape was last placed; a shape that goes forward does not starve, however long its queue. */
-    const progressAtMs = new Map<string, number>();
+    /** When a task of each shape was last placed (wall clock); while a shape makes progress, its waiting tasks are not starved. */
+    const lastPlacedAtMs = new Map<string, number>();
 
-    const noteProgress = (item: QueueItem): void => {
-        progressAtMs.delete(shapeKey(item));
-        progressAtMs.set(shapeKey(item), clock.nowMs());
-        for (const [key, atMs] of progressAtMs) {
+    const recordProgress = (item: QueueItem): void => {
+        lastPlacedAtMs.delete(shapeKey(item));
+        lastPlacedAtMs.set(shapeKey(item), clock.nowMs());
+        for (const [key, atMs] of lastPlacedAtMs) {
             if (clock.nowMs() - atMs < options.starvationMs) {
                 break;
             }
-            progressAtMs.delete(key);
+            lastPlacedAtMs.delete(key);
         }
     };
 
-    const waitOf = (item: QueueItem, task: TaskEntry): number =>
-        Math.max(0, clock.nowMs() - Math.max(task.queuedAtMs, progressAtMs.get(shapeKey(item)) ?? 0));
+    /** Time since the task was queued or a task of its shape was placed, whichever is shorter. */
+    const waitedMsOf = (item: QueueItem, task: TaskEntry): number =>
+        Math.max(0, clock.nowMs() - Math.max(task.queuedAtMs, lastPlacedAtMs.get(shapeKey(item)) ?? 0));
 
-    /** Any member that fails ends its whole gang, so what one member met all of them avoid. */
-    const avoidedBy = (item: QueueItem, task: TaskEntry): readonly string[] => [
+    /** A failure of one member ends the whole gang, so all members avoid the workers on which any of them failed. */
+    const workersToAvoid = (item: QueueItem, task: TaskEntry): readonly string[] => [
         ...new Set((item.gang ? item.tasks : [task]).flatMap(each => [...each.failedOn])),
     ];
 
@@ -102,38 +109,41 @@
         policy: item.policy,
         priority: item.priority,
         preemptible: !task.job.spec.atMostOnce && !item.gang,
-        waitedMs: waitOf(item, task),
+        waitedMs: waitedMsOf(item, task),
         keepKey: item.gang ? task.job.spec.jobId : task.taskId,
         gang: item.gang,
-        avoid: avoidedBy(item, task),
+        avoid: workersToAvoid(item, task),
     });
 
-    const putBack = (item: QueueItem, restMs: number): void => {
-        queue.putBack({ ...item, tries: item.tries + 1 }, clock.monotonicMs() + restMs);
+    const requeue = (item: QueueItem, backoffMs: number): void => {
+        queue.requeue({ ...item, tries: item.tries + 1 }, clock.monotonicMs() + backoffMs);
     };
 
-    const restFor = (item: QueueItem): number => {
-        const ceilingMs = Math.min(maxGangRestMs, baseRestMs * 2 ** Math.min(10, item.tries));
-        return item.gang ? ceilingMs * (0.5 + random.next() / 2) : baseRestMs;
+    const backoffMsFor = (item: QueueItem): number => {
+        const ceilingMs = Math.min(maxGangBackoffMs, baseBackoffMs * 2 ** Math.min(10, item.tries));
+        return item.gang ? ceilingMs * (0.5 + random.next() / 2) : baseBackoffMs;
     };
 
-    /** Urgent and starved tasks go to one owner all the same, always the same one, which makes room for them. */
-    const ownerFor = (item: QueueItem, task: TaskEntry, rooms: Rooms): string | undefined => {
-        const owner = rooms.choose(item.size, options.policyOf(item.policy).placement);
-        const starved = waitOf(item, task) >= options.starvationMs;
+    /**
+     * An owner with enough free capacity. Without one, urgent and starved tasks go to an owner picked by hashing, always the
+     * same one, so that it can make room for them.
+     */
+    const ownerFor = (item: QueueItem, task: TaskEntry, capacities: Rooms): string | undefined => {
+        const owner = capacities.choose(item.size, options.policyOf(item.policy).placement);
+        const starved = waitedMsOf(item, task) >= options.starvationMs;
         if (owner !== undefined || (item.priority < urgentPriority && !starved)) {
             return owner;
         }
         const key = item.gang ? task.job.spec.jobId : task.taskId;
-        return pick(key, rooms.owners());
+        return pick(key, capacities.owners());
     };
 
-    const placeSingles = async (items: readonly QueueItem[], rooms: Rooms): Promise<number> => {
+    const placeSingles = async (items: readonly QueueItem[], capacities: Rooms): Promise<number> => {
         const byOwner = new Map<string, Offered[]>();
         const unplaced: QueueItem[] = [];
         for (const item of items) {
             const [task] = item.tasks;
-            const owner = task === undefined ? undefined : ownerFor(item, task, rooms);
+            const owner = task === undefined ? undefined : ownerFor(item, task, capacities);
             if (owner === undefined || task === undefined) {
                 unplaced.push(item);
                 continue;
@@ -144,36 +154,37 @@
         }
         const counts = await Promise.all([...byOwner].map(async ([owner, offered]) => {
             const placements = await options.offer(owner, offered.map(each => each.offer));
-            const made = new Map(placements.map(placement => [placement.attemptId, placement]));
+            const placementsById = new Map(placements.map(placement => [placement.attemptId, placement]));
             const reserved: Reserved[] = [];
             for (const { item, task, offer } of offered) {
-                const placement = made.get(offer.attemptId);
+                const placement = placementsById.get(offer.attemptId);
                 if (placement === undefined) {
                     unplaced.push(item);
                     continue;
                 }
                 reserved.push({ task, placement });
-                noteProgress(item);
+                recordProgress(item);
             }
             await options.commit(reserved, false);
             return reserved.length;
         }));
+        // Newest first: each item goes to the head of its shape, so the oldest one is at the head in the end.
         unplaced.sort((left, right) => right.queuedAtMs - left.queuedAtMs);
         for (const item of unplaced) {
-            putBack(item, restFor(item));
+            requeue(item, backoffMsFor(item));
         }
         return counts.reduce((sum, count) => sum + count, 0);
     };
 
-    /** Undefined where nobody is left to ask for one of the tasks. */
+    /** Offers grouped by owner; undefined if no owner is left for one of the tasks. */
     const groupByOwner = (
         item: QueueItem,
         tasks: readonly TaskEntry[],
-        rooms: Rooms,
+        capacities: Rooms,
     ): readonly (readonly [string, readonly Offered[]])[] | undefined => {
         const byOwner = new Map<string, Offered[]>();
         for (const task of tasks) {
-            const owner = ownerFor(item, task, rooms);
+            const owner = ownerFor(item, task, capacities);
             if (owner === undefined) {
                 return undefined;
             }
@@ -184,18 +195,18 @@
         return [...byOwner].sort(([left], [right]) => left < right ? -1 : 1);
     };
 
-    /** Offers tasks of a gang to one owner; answers those that it refused. */
+    /** Offers tasks of a gang to one owner, adds its reservations to `held` and resolves with the tasks that it refused. */
     const offerGang = async (
         owner: string,
         offered: readonly Offered[],
-        held: Held[],
-        rooms: Rooms,
+        held: OwnedReservation[],
+        capacities: Rooms,
     ): Promise<readonly TaskEntry[]> => {
         const placements = await options.offer(owner, offered.map(each => each.offer));
-        const made = new Map(placements.map(placement => [placement.attemptId, placement]));
+        const placementsById = new Map(placements.map(placement => [placement.attemptId, placement]));
         const refused: TaskEntry[] = [];
         for (const { task, offer } of offered) {
-            const placement = made.get(offer.attemptId);
+            const placement = placementsById.get(offer.attemptId);
             if (placement === undefined) {
                 refused.push(task);
                 continue;
@@ -203,40 +214,43 @@
             held.push({ owner, task, placement });
         }
         if (refused.length > 0) {
-            rooms.refuse(owner);
+            capacities.refuse(owner);
         }
         return refused;
     };
 
-    /** All or nothing: what one owner refuses is offered to the others, and where nobody is left all is given back. */
-    const placeGang = async (item: QueueItem, rooms: Rooms): Promise<number> => {
-        const held: Held[] = [];
-        const asked = new Set<string>();
-        let left = item.tasks;
-        while (left.length > 0) {
-            const groups = groupByOwner(item, left, rooms);
+    /**
+     * Places all tasks of a gang or none. Tasks that one owner refuses are offered to other owners; if none is left, all
+     * reservations are released.
+     */
+    const placeGang = async (item: QueueItem, capacities: Rooms): Promise<number> => {
+        const held: OwnedReservation[] = [];
+        const askedOwners = new Set<string>();
+        let remaining = item.tasks;
+        while (remaining.length > 0) {
+            const groups = groupByOwner(item, remaining, capacities);
             if (groups === undefined) {
                 break;
             }
             const refused: TaskEntry[] = [];
             for (const [owner, offered] of groups) {
-                asked.add(owner);
-                refused.push(...await offerGang(owner, offered, held, rooms));
+                askedOwners.add(owner);
+                refused.push(...await offerGang(owner, offered, held, capacities));
             }
-            left = refused;
+            remaining = refused;
         }
-        if (left.length > 0) {
-            await giveBack(held);
-            putBack(item, restFor(item));
+        if (remaining.length > 0) {
+            await releaseReservations(held);
+            requeue(item, backoffMsFor(item));
             return 0;
         }
         const [{ jobId }] = item.tasks.map(task => task.job.spec) as [JobSpec];
-        await Promise.all([...asked].map(owner => options.release(owner, [], [jobId])));
+        await Promise.all([...askedOwners].map(owner => options.release(owner, [], [jobId])));
         await options.commit(held, true);
         return held.length;
     };
 
-    const giveBack = async (held: readonly Held[]): Promise<void> => {
+    const releaseReservations = async (held: readonly OwnedReservation[]): Promise<void> => {
         const owners = new Set(held.map(each => each.owner));
         await Promise.all(
             [...owners].map(owner =>
@@ -245,34 +259,34 @@
         );
     };
 
-    const waitingPart = (item: QueueItem): QueueItem | undefined => {
+    const withWaitingTasks = (item: QueueItem): QueueItem | undefined => {
         const tasks = item.tasks.filter(options.isWaiting);
         return tasks.length === 0 ? undefined : { ...item, tasks };
     };
 
-    const admitted = (items: readonly QueueItem[]): readonly QueueItem[] => {
-        const open: QueueItem[] = [];
-        for (const taken of items) {
-            const item = waitingPart(taken);
+    const admitWithinQuota = (items: readonly QueueItem[]): readonly QueueItem[] => {
+        const admitted: QueueItem[] = [];
+        for (const queued of items) {
+            const item = withWaitingTasks(queued);
             if (item === undefined) {
                 continue;
             }
             const size = item.tasks.reduce(sum => add(sum, item.size), noResources);
             if (!options.withinQuota(item.team, size)) {
-                putBack(item, quotaRestMs);
+                requeue(item, quotaBackoffMs);
                 continue;
             }
             options.addUse(item.team, size);
-            open.push(item);
+            admitted.push(item);
         }
-        return open;
+        return admitted;
     };
 
     return {
         round: async () => {
-            const items = admitted(queue.take(itemsPerRound, clock.monotonicMs(), options.useOf));
-            const rooms = createRooms(options.rooms(), random);
-            let placed = await placeSingles(items.filter(item => !item.gang), rooms);
+            const items = admitWithinQuota(queue.take(maxItemsPerRound, clock.monotonicMs(), options.useOf));
+            const capacities = createRooms(options.rooms(), random);
+            let placed = await placeSingles(items.filter(item => !item.gang), capacities);
             for (const item of items.filter(each => each.gang)) {
                 placed += await placeGang(item, createRooms(options.rooms(), random));
             }
--- a/packages/puffinarch/src/core/taskQueue.ts
+++ b/packages/puffinarch/src/core/taskQueue.ts
@@ -1,6 +1,7 @@
 /**
- * Tasks that wait at their home: first by priority, then by how little their team holds, then oldest first, kept by shape so that one shape without room
- * holds up no other and costs one look instead of one for each task.
+ * Queue of a home's waiting tasks, ordered by priority, then by the usage of their team, lowest first, then by age, oldest
+ * first. Items are grouped by shape. A shape for which there is no free capacity does not delay other shapes, and is
+ * skipped as a whole instead of task by task.
  */
 
 import type { Resources } from "../types/resources.js";
@@ -15,21 +16,22 @@
     readonly team: string;
     readonly size: Resources;
     readonly queuedAtMs: number;
-    /** Failed tries so far. */
+    /** Rounds in which the item could not be placed. */
     readonly tries: number;
 }
 
-/** Waiting tasks in the order of placing. */
+/** Waiting tasks in the order in which they are to be placed. */
 export interface TaskQueue {
+    /** Adds an item at the end of its shape. */
     push(item: QueueItem): void;
-    /** Puts an item back at the head of its shape, and rests the shape until then on the monotonic clock. */
-    putBack(item: QueueItem, notBeforeMs: number): void;
+    /** Returns an item to the head of its shape; the shape is skipped until `notBeforeMs` on the monotonic clock. */
+    requeue(item: QueueItem, notBeforeMs: number): void;
     /**
-     * Takes up to `most` items whose shape does not rest. `useOf` says what a team holds; what is taken counts into it,
-     * so that teams take turns within one call.
+     * Takes up to `limit` items of shapes that are not skipped at `nowMs`. `useOf` returns the thousandths of a core that a
+     * team holds; items taken are added to it, so that teams take turns within one call.
      */
-    take(most: number, nowMs: number, useOf: (team: string) => number): readonly QueueItem[];
-    /** Number of tasks, cancelled ones included until they are taken. */
+    take(limit: number, nowMs: number, useOf: (team: string) => number): readonly QueueItem[];
+    /** Number of tasks; cancelled ones count until they are taken. */
     size(): number;
 }
 
@@ -38,15 +40,17 @@
     readonly priority: number;
     readonly team: string;
     items: QueueItem[];
+    /** Index of the first item that was not taken yet. */
     head: number;
     notBeforeMs: number;
 }
 
 /**
- * Names the shape of an item; items of one shape are placed or refused alike.
+ * Returns the key of an item's shape. Items of one shape have the same priority, team, policy and size, so the same workers
+ * fit them; each gang has a shape of its own.
  *
  * @example
- * shapeKey(item) === shapeKey(likeItem); // true
+ * shapeKey(item) === shapeKey({ ...item, tries: item.tries + 1 }); // true
  */
 export const shapeKey = (item: QueueItem): string => {
     const { cpuMillis, memoryMib, accelerators } = item.size;
@@ -54,10 +58,10 @@
     return [item.priority, item.team, item.policy, cpuMillis, memoryMib, accelerators, gang].join("|");
 };
 
-const compactFrom = 1_024;
+const compactionThreshold = 1_024;
 
 /**
- * Makes an empty queue.
+ * Creates an empty queue.
  *
  * @example
  * const queue = createTaskQueue();
@@ -67,7 +71,7 @@
     const shapes = new Map<string, Shape>();
     let size = 0;
 
-    const shapeOf = (item: QueueItem): Shape => {
+    const findOrAddShape = (item: QueueItem): Shape => {
         const key = shapeKey(item);
         const known = shapes.get(key);
         if (known !== undefined) {
@@ -78,7 +82,7 @@
         return shape;
     };
 
-    const comesFirst = (left: Shape, right: Shape | undefined, useOf: (team: string) => number): boolean => {
+    const precedes = (left: Shape, right: Shape | undefined, useOf: (team: string) => number): boolean => {
         if (right === undefined || left.priority !== right.priority) {
             return right === undefined || left.priority > right.priority;
         }
@@ -92,7 +96,7 @@
     const nextShape = (nowMs: number, useOf: (team: string) => number): Shape | undefined => {
         let next: Shape | undefined;
         for (const shape of shapes.values()) {
-            if (shape.notBeforeMs <= nowMs && comesFirst(shape, next, useOf)) {
+            if (shape.notBeforeMs <= nowMs && precedes(shape, next, useOf)) {
                 next = shape;
             }
         }
@@ -105,7 +109,7 @@
         if (shape.head === shape.items.length) {
             shapes.delete(shape.key);
         }
-        else if (shape.head >= compactFrom) {
+        else if (shape.head >= compactionThreshold) {
             shape.items = shape.items.slice(shape.head);
             shape.head = 0;
         }
@@ -115,11 +119,11 @@
 
     return {
         push: item => {
-            shapeOf(item).items.push(item);
+            findOrAddShape(item).items.push(item);
             size += item.tasks.length;
         },
-        putBack: (item, notBeforeMs) => {
-            const shape = shapeOf(item);
+        requeue: (item, notBeforeMs) => {
+            const shape = findOrAddShape(item);
             if (shape.head > 0) {
                 shape.head -= 1;
                 shape.items[shape.head] = item;
@@ -130,11 +134,11 @@
             shape.notBeforeMs = Math.max(shape.notBeforeMs, notBeforeMs);
             size += item.tasks.length;
         },
-        take: (most, nowMs, useOf) => {
+        take: (limit, nowMs, useOf) => {
             const taken: QueueItem[] = [];
             const takenUse = new Map<string, number>();
             const useWithTaken = (team: string): number => useOf(team) + (takenUse.get(team) ?? 0);
-            while (taken.length < most) {
+            while (taken.length < limit) {
                 const shape = nextShape(nowMs, useWithTaken);
                 const item = shape === undefined ? undefined : takeHead(shape);
                 if (item === undefined) {
