--- a/packages/puffinarch/src/core/attempts.ts
+++ b/packages/puffinarch/src/core/attempts.ts
@@ -126,7 +126,7 @@
  * payload and checkpoint are left empty, since they serve only to start it.
  *
  * @example
- * attempts.track(worker, foundParts(running), running.homeId, "running");
+ * attempts.track(worker, adoptedSpec(running), running.homeId, "running");
  */
 export const foundParts = (
     { attemptId, taskId, size }: Pick<AttemptParts, "attemptId" | "taskId" | "size">,
--- a/packages/puffinarch/src/core/deputy.ts
+++ b/packages/puffinarch/src/core/deputy.ts
@@ -44,7 +44,7 @@
  * Creates the deputy of a daemon.
  *
  * @example
- * const promiseMs = deputy.promise("vm-2~1");
+ * const promiseMs = deputy.grantPromise("vm-2~1");
  */
 export const createDeputy = (options: DeputyOptions): Deputy => {
     const { table, clock, log, meter, membership, ownId } = options;
--- a/packages/puffinarch/src/core/earmarks.ts
+++ b/packages/puffinarch/src/core/earmarks.ts
@@ -44,7 +44,7 @@
  * Creates the earmarks of one rack owner.
  *
  * @example
- * earmarks.keep("barrier-plan/0", "w1", 8, 0); // true
+ * earmarks.add("barrier-plan/0", "w1", 8, 0); // true
  */
 export const createEarmarks = ({ clock, keptMs, oneInWorkers }: EarmarksOptions): Earmarks => {
     const earmarksByWorker = new Map<string, Earmark>();
--- a/packages/puffinarch/src/core/quarantine.ts
+++ b/packages/puffinarch/src/core/quarantine.ts
@@ -46,8 +46,8 @@
  * Creates the quarantine of one rack owner.
  *
  * @example
- * quarantine.noteFailure("w1", "load-in-7");
- * quarantine.trust("w1"); // "trusted", because one failure is below the limit
+ * quarantine.recordFailure("w1", "load-in-7");
+ * quarantine.stateOf("w1"); // "trusted", because one failure is below the limit
  */
 export const createQuarantine = (options: QuarantineOptions): Quarantine => {
     const { clock } = options;
--- a/packages/puffinarch/src/core/roomMaker.ts
+++ b/packages/puffinarch/src/core/roomMaker.ts
@@ -16,7 +16,7 @@
 /** Makes room for an offer that was refused; returns what it did as a reason for the decision, undefined if nothing. */
 export type RoomMaker = (offer: TaskOffer) => string | undefined;
 
-/** Dependencies and settings of a room maker. */
+/** Dependencies and settings of a preemptor. */
 export interface RoomMakerOptions {
     readonly clock: Clock;
     readonly meter: Meter;
@@ -45,7 +45,7 @@
     );
 
 /**
- * Creates the room maker of a rack owner.
+ * Creates the preemptor of a rack owner.
  *
  * @example
  * const reason = makeRoom(offer) ?? "no worker of these racks has room";
--- a/packages/puffinarch/src/core/rooms.ts
+++ b/packages/puffinarch/src/core/rooms.ts
@@ -49,7 +49,7 @@
  * Creates the estimates for one round of offers.
  *
  * @example
- * createRooms([], random).choose(noResources, "bestFit"); // undefined
+ * createOwnerCapacities([], random).choose(noResources, "bestFit"); // undefined
  */
 export const createRooms = (known: readonly Room[], random: Random): Rooms => {
     const ownersById = new Map(known.map(room => [room.sessionId, room]));
--- a/packages/puffinarch/src/core/slots.ts
+++ b/packages/puffinarch/src/core/slots.ts
@@ -21,7 +21,7 @@
 /** One of `upstreamStates`. */
 export type UpstreamState = (typeof upstreamStates)[keyof typeof upstreamStates];
 
-/** One slot of one upstream, held until `giveBack`. */
+/** One slot of one upstream, held until `release`. */
 export interface Slot {
     readonly upstreamId: string;
     readonly address: string;
@@ -101,7 +101,7 @@
  *
  * @example
  * const slot = await slots.take("mesa-comun", clock.monotonicMs() + 1_000);
- * slot.giveBack();
+ * slot.release();
  */
 export const createSlots = (options: SlotsOptions): Slots => {
     const { clock, random, log, meter, upstreams, membership, slotsPerUpstream } = options;
--- a/packages/puffinarch/src/core/workerReport.ts
+++ b/packages/puffinarch/src/core/workerReport.ts
@@ -88,7 +88,7 @@
  * after that may be absent from the report without having ended.
  *
  * @example
- * readReport(options, worker, report, sentAtMs);
+ * applyReport(options, worker, report, sentAtMs);
  */
 export const readReport = (
     options: WorkerReportOptions,
