--- a/features/steps/examples/coordination.ts
+++ b/features/steps/examples/coordination.ts
@@ -23,16 +23,16 @@
     initialDocument,
     type Membership,
     type Meter,
-    type OwnedUnit,
     replay,
     type Slots,
-    type UnitKeeper,
+    type UnitHandler,
+    type VersionedUnit,
 } from "puffinarch";
 
 const log = { write: () => {} };
 const meter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
 const random = createSeededRandom(1);
-const idle: UnitKeeper = { gain: async () => {}, yield: async () => {} };
+const idle: UnitHandler = { acquire: async () => {}, release: async () => {} };
 
 const platformOn = (clock: FakeClock): Platform =>
     createPlatform(clock, random, { ...defaultPlatformLimits, vmListLagMs: 0 });
@@ -102,7 +102,7 @@
     const common = { table, vmList, clock, log, meter, membership: known, dataCentre };
     const session = createSession({ ...common, vmId: "vm-1", sessionLeaseMs: 6_000, renewIntervalMs: 1_500 });
     const keepers = { rack: idle, upstream: idle, home: idle };
-    const own = createOwnership({ ...common, session, deathGraceMs: 3_000, keepers });
+    const own = createOwnership({ ...common, session, deathGraceMs: 3_000, unitHandlers: keepers });
     await session.open("http://127.0.0.1:7100");
     await own.refresh();
     return `${own.owned("rack")[0]?.key} is owned`;
@@ -166,7 +166,7 @@
         statusIntervalMs: 1_000,
         drainTimeoutMs: 1_000,
     });
-    const unit: OwnedUnit = {
+    const unit: VersionedUnit = {
         key: "unit/upstream/leon-feria/leon-feria-u1",
         kind: "upstream",
         dataCentre: "leon-feria",
@@ -174,7 +174,7 @@
         owner: "vm-1~1",
         version: 1,
     };
-    await slots.keeper.gain(unit);
+    await slots.unitHandler.acquire(unit);
     await clock.advance(10);
     return { slots, known };
 };
--- a/features/steps/examples/decisions.ts
+++ b/features/steps/examples/decisions.ts
@@ -4,7 +4,7 @@
     checkJobSpec,
     createHomeState,
     createLedger,
-    createRooms,
+    createOwnerCapacities,
     createSeededRandom,
     createTaskQueue,
     diffDocuments,
@@ -87,10 +87,10 @@
 
 const rooms = (): string => {
     const known = [
-        { sessionId: "owner-1", near: true, free: size, mostFree: { ...size, cpuMillis: 100 } },
-        { sessionId: "owner-2", near: false, free: size, mostFree: size },
+        { sessionId: "owner-1", inSameDataCentre: true, free: size, mostFree: { ...size, cpuMillis: 100 } },
+        { sessionId: "owner-2", inSameDataCentre: false, free: size, mostFree: size },
     ];
-    return createRooms(known, random).choose(size, "bestFit") ?? "none";
+    return createOwnerCapacities(known, random).choose(size, "bestFit") ?? "none";
 };
 
 const jobSpec = (): string => {
--- a/features/steps/examples/ownership.ts
+++ b/features/steps/examples/ownership.ts
@@ -9,6 +9,7 @@
     type Platform,
 } from "@puffinarch/stand-ins";
 import {
+    applyReport,
     type Attempt,
     createAttemptOwners,
     createAttempts,
@@ -22,10 +23,10 @@
     createLedger,
     createMembership,
     createPlacer,
+    createPreemptor,
     createQuarantine,
     createRackOwner,
     createReportOutbox,
-    createRoomMaker,
     createSeededRandom,
     createSession,
     createTaskQueue,
@@ -36,15 +37,14 @@
     loadSnapshot,
     type Membership,
     type Meter,
-    type OwnedUnit,
     type OwnedWorker,
     type Policy,
-    readReport,
     recordFor,
     remediesFor,
     saveSnapshot,
     type Session,
     type SessionRow,
+    type VersionedUnit,
     type Vm,
     type WorkerPort,
 } from "puffinarch";
@@ -140,7 +140,7 @@
         promiseMs: 3_000,
         marginMs: 250,
     });
-    return `promises ${own.promise("vm-2~1")} ms`;
+    return `promises ${own.grantPromise("vm-2~1")} ms`;
 };
 
 const ownedWorker = (): OwnedWorker => ({
@@ -151,7 +151,7 @@
     clockMs: 0,
     clockReadAtMs: 0,
     acknowledge: new Set(),
-    shown: new Map(),
+    reportedAttempts: new Map(),
     seen: undefined,
     attempts: new Set(),
     loop: undefined,
@@ -188,7 +188,7 @@
     const table = createAttempts(createFakeClock(), ledger);
     const running = [{ attemptId: "a1", taskId: "load-in-7/0", homeId: "home-1", size, used: size }];
     const report = { nowMs: 0, bootId: "b", version: 1, complete: true, running, gone: [], ended: [] };
-    readReport({ ledger, attempts: table, onRunning: () => {}, onEnded: () => {} }, ownedWorker(), report, 0);
+    applyReport({ ledger, attempts: table, onRunning: () => {}, onEnded: () => {} }, ownedWorker(), report, 0);
     return `a1 holds ${ledger.worker("w1")?.reserved.cpuMillis} cpuMillis`;
 };
 
@@ -200,8 +200,8 @@
         firstProbeMs: 10_000,
         maxProbeMs: 300_000,
     });
-    ["job-1", "job-1", "job-2"].forEach(jobId => trust.noteFailure("w1", jobId));
-    return trust.trust("w1");
+    ["job-1", "job-1", "job-2"].forEach(jobId => trust.recordFailure("w1", jobId));
+    return trust.stateOf("w1");
 };
 
 const usage = (): string => {
@@ -212,8 +212,8 @@
 };
 
 const earmarks = (): string => {
-    const marks = createEarmarks({ clock: createFakeClock(), keptMs: 10_000, oneInWorkers: 4 });
-    marks.keep("load-in-7/0", "w1", 8, 0);
+    const marks = createEarmarks({ clock: createFakeClock(), earmarkMs: 10_000, workersPerEarmark: 4 });
+    marks.add("load-in-7/0", "w1", 8, 0);
     return `${marks.workersFor("load-in-7/0").join(", ")} is kept`;
 };
 
@@ -256,7 +256,7 @@
         random,
         newAttemptId: taskId => `${taskId}@1`,
         policyOf: () => policy,
-        rooms: () => [{ sessionId: "vm-1~1", near: true, free: capacity, mostFree: capacity }],
+        ownerCapacities: () => [{ sessionId: "vm-1~1", inSameDataCentre: true, free: capacity, mostFree: capacity }],
         withinQuota: () => true,
         useOf: () => 0,
         addUse: () => {},
@@ -334,8 +334,8 @@
             closeTimeoutMs: 1_000,
         }),
     });
-    const owned: OwnedUnit = { ...unit, version: put.outcome === "committed" ? put.version : 0 };
-    await homes.keeper.gain(owned);
+    const owned: VersionedUnit = { ...unit, version: put.outcome === "committed" ? put.version : 0 };
+    await homes.unitHandler.acquire(owned);
     await clock.advance(10);
     return { homes, own };
 };
@@ -399,7 +399,7 @@
         reservationMs,
         starvationMs,
     });
-    await owner.keeper.gain({
+    await owner.unitHandler.acquire({
         key: `unit/rack/${dataCentre}/r1`,
         kind: "rack",
         dataCentre,
@@ -465,15 +465,15 @@
     ledger.setOpen("w1", true);
     ledger.reserve("w1", "a1", capacity);
     table.track(worker, { ...parts, size: capacity }, "home-1", "running");
-    const makeRoom = createRoomMaker({
+    const makeRoom = createPreemptor({
         clock,
         meter,
         ledger,
-        earmarks: createEarmarks({ clock, keptMs: 10_000, oneInWorkers: 4 }),
+        earmarks: createEarmarks({ clock, earmarkMs: 10_000, workersPerEarmark: 4 }),
         attempts: table,
         workers: new Map([["w1", worker]]),
         starvationMs: 5_000,
-        onKept: () => {},
+        onEarmarked: () => {},
         stop: () => {},
     });
     const urgent = {
--- a/packages/puffinarch/src/core/attempts.ts
+++ b/packages/puffinarch/src/core/attempts.ts
@@ -55,7 +55,7 @@
     /** Ended attempts to acknowledge to the worker in the next poll. */
     readonly acknowledge: Set<string>;
     /** Attempts that the worker reports as running, by id. */
-    readonly shown: Map<string, RunningAttempt>;
+    readonly reportedAttempts: Map<string, RunningAttempt>;
     /** Boot id and version of the last report; undefined before the first one. */
     seen: WorkerPoll["seen"];
     readonly attempts: Set<Attempt>;
@@ -63,7 +63,7 @@
 }
 
 /** Identity and needs of an attempt; the other fields of an offer only serve to choose a worker. */
-export type AttemptParts = Pick<
+export type AttemptSpec = Pick<
     TaskOffer,
     "attemptId" | "taskId" | "size" | "payload" | "checkpoint" | "priority" | "preemptible"
 >;
@@ -71,7 +71,7 @@
 /** All attempts of one rack owner. */
 export interface Attempts {
     /** Adds an attempt in this state to the worker. */
-    track(worker: OwnedWorker, parts: AttemptParts, homeId: string, state: AttemptState): Attempt;
+    track(worker: OwnedWorker, parts: AttemptSpec, homeId: string, state: AttemptState): Attempt;
     /** Removes an attempt and releases the capacity that it holds. */
     forget(attempt: Attempt): void;
     find(attemptId: string): Attempt | undefined;
@@ -128,9 +128,9 @@
  * @example
  * attempts.track(worker, adoptedSpec(running), running.homeId, "running");
  */
-export const foundParts = (
-    { attemptId, taskId, size }: Pick<AttemptParts, "attemptId" | "taskId" | "size">,
-): AttemptParts => ({
+export const adoptedSpec = (
+    { attemptId, taskId, size }: Pick<AttemptSpec, "attemptId" | "taskId" | "size">,
+): AttemptSpec => ({
     attemptId,
     taskId,
     size,
--- a/packages/puffinarch/src/core/deputy.ts
+++ b/packages/puffinarch/src/core/deputy.ts
@@ -16,9 +16,9 @@
      * Returns 0, for no promise, if this session has no authority itself, or if the other session is unknown, closed,
      * being fenced or expired.
      */
-    promise(sessionId: string): number;
+    grantPromise(sessionId: string): number;
     /** Fences every expired session that this one may fence now. */
-    fenceLapsed(): Promise<void>;
+    fenceExpired(): Promise<void>;
 }
 
 /** Dependencies and settings of a deputy. */
@@ -102,8 +102,8 @@
     };
 
     return {
-        promise,
-        fenceLapsed: async () => {
+        grantPromise: promise,
+        fenceExpired: async () => {
             for (const session of membership.sessions()) {
                 const version = membership.sessionVersion(session.sessionId);
                 if (!isOpen(session) || version === undefined || !mayFence(session)) {
--- a/packages/puffinarch/src/core/earmarks.ts
+++ b/packages/puffinarch/src/core/earmarks.ts
@@ -16,7 +16,7 @@
      * workers. At the limit it replaces the earmark of the work that has waited least, if that has waited at least 500 ms less;
      * otherwise it returns false. All owners prefer the oldest work, so that two gangs do not hold half of the workers each.
      */
-    keep(keepKey: string, workerId: string, workers: number, sinceMs: number): boolean;
+    add(keepKey: string, workerId: string, workers: number, sinceMs: number): boolean;
     /** Removes the earmarks for this key; returns their workers. */
     release(keepKey: string): readonly string[];
     /** Removes the earmarks that have expired. */
@@ -27,9 +27,9 @@
 export interface EarmarksOptions {
     readonly clock: Clock;
     /** Lifetime of an earmark. */
-    readonly keptMs: number;
+    readonly earmarkMs: number;
     /** One worker in this many may be earmarked, but always at least one. */
-    readonly oneInWorkers: number;
+    readonly workersPerEarmark: number;
 }
 
 interface Earmark {
@@ -46,7 +46,7 @@
  * @example
  * earmarks.add("barrier-plan/0", "w1", 8, 0); // true
  */
-export const createEarmarks = ({ clock, keptMs, oneInWorkers }: EarmarksOptions): Earmarks => {
+export const createEarmarks = ({ clock, earmarkMs, workersPerEarmark }: EarmarksOptions): Earmarks => {
     const earmarksByWorker = new Map<string, Earmark>();
 
     const workersFor = (keepKey: string): readonly string[] =>
@@ -65,15 +65,15 @@
     return {
         workersFor,
         isEarmarked: workerId => earmarksByWorker.has(workerId),
-        keep: (keepKey, workerId, workers, sinceMs) => {
-            const maxEarmarks = Math.max(1, Math.floor(workers / oneInWorkers));
+        add: (keepKey, workerId, workers, sinceMs) => {
+            const maxEarmarks = Math.max(1, Math.floor(workers / workersPerEarmark));
             if (
                 earmarksByWorker.has(workerId)
                 || (earmarksByWorker.size >= maxEarmarks && !evictYoungest(keepKey, sinceMs))
             ) {
                 return false;
             }
-            earmarksByWorker.set(workerId, { keepKey, sinceMs, untilMs: clock.monotonicMs() + keptMs });
+            earmarksByWorker.set(workerId, { keepKey, sinceMs, untilMs: clock.monotonicMs() + earmarkMs });
             return true;
         },
         release: keepKey => {
--- a/packages/puffinarch/src/core/home.ts
+++ b/packages/puffinarch/src/core/home.ts
@@ -30,8 +30,8 @@
 import type { Journal } from "./journal.js";
 import type { Membership } from "./membership.js";
 import { recordFor } from "./outcomes.js";
-import { createPlacer, type Reserved } from "./placer.js";
-import type { Room } from "./rooms.js";
+import { createPlacer, type ReservedTask } from "./placer.js";
+import type { OwnerCapacity } from "./rooms.js";
 import type { LoadedSnapshot } from "./snapshots.js";
 import { createTaskQueue, type QueueItem } from "./taskQueue.js";
 
@@ -75,7 +75,7 @@
     readonly policyOf: (name: string) => Policy;
     readonly classOf: (name: string) => WorkloadClass;
     /** Rack owners that can be offered tasks now. */
-    readonly rooms: () => readonly Room[];
+    readonly rooms: () => readonly OwnerCapacity[];
     /** True where the team's quota leaves room for this much more. */
     readonly withinQuota: (team: string, size: Resources) => boolean;
     readonly call: CallSession;
@@ -309,14 +309,14 @@
         return settled;
     };
 
-    const isAgreed = ({ task, placement }: Reserved): boolean =>
+    const isAgreed = ({ task, placement }: ReservedTask): boolean =>
         task.attemptId === placement.attemptId && task.state === taskStates.starting;
 
-    const mayStartEarly = ({ task, placement }: Reserved): boolean =>
+    const mayStartEarly = ({ task, placement }: ReservedTask): boolean =>
         !task.job.spec.atMostOnce && placement.rackKey.startsWith(unitKey("rack", options.dataCentre, ""));
 
     /** Commits reservations and starts them; where the commit is slow, what may start before it does. */
-    const commit = async (reserved: readonly Reserved[], gang: boolean): Promise<void> => {
+    const commit = async (reserved: readonly ReservedTask[], gang: boolean): Promise<void> => {
         const intents = reserved.map(each => {
             const record: JournalRecord = { kind: "attemptIntended", taskId: each.task.taskId, ...each.placement };
             return { ...each, record };
@@ -358,7 +358,7 @@
         random,
         newAttemptId: options.newAttemptId,
         policyOf: options.policyOf,
-        rooms: options.rooms,
+        ownerCapacities: options.rooms,
         withinQuota: options.withinQuota,
         useOf: team => teamUse.get(team)?.cpuMillis ?? 0,
         addUse: (team, size) => teamUse.set(team, add(teamUse.get(team) ?? noResources, size)),
--- a/packages/puffinarch/src/core/homes.ts
+++ b/packages/puffinarch/src/core/homes.ts
@@ -7,13 +7,13 @@
 import { createHome, type Home, type HomeOptions, jobKey } from "./home.js";
 import { createHomeState } from "./homeState.js";
 import { createJournal, replay } from "./journal.js";
-import type { Membership, OwnedUnit } from "./membership.js";
-import type { UnitKeeper } from "./ownership.js";
+import type { Membership, VersionedUnit } from "./membership.js";
+import type { UnitHandler } from "./ownership.js";
 import { forgetRows, loadSnapshot, saveSnapshot } from "./snapshots.js";
 
 /** The homes held here, by id. */
 export interface Homes {
-    readonly keeper: UnitKeeper;
+    readonly unitHandler: UnitHandler;
     /** The home that accepts new jobs; undefined until the session owns it. */
     own(): Home | undefined;
     held(): readonly Home[];
@@ -65,7 +65,7 @@
         return `${options.sessionId()}.${batches}`;
     };
 
-    const openOnce = async (unit: OwnedUnit): Promise<void> => {
+    const openOnce = async (unit: VersionedUnit): Promise<void> => {
         const loaded = await loadSnapshot(table, objects, unit.name);
         const { records, nextSequence, staleKeys } = await replay(table, unit.name, loaded.nextSequence);
         const state = createHomeState();
@@ -104,7 +104,7 @@
         log.write("info", "homeOpened", { homeId: unit.name, records: records.length, nextSequence });
     };
 
-    const openHome = async (unit: OwnedUnit): Promise<void> => {
+    const openHome = async (unit: VersionedUnit): Promise<void> => {
         while (wanted.has(unit.name)) {
             try {
                 await openOnce(unit);
@@ -117,12 +117,12 @@
         }
     };
 
-    const gain = async (unit: OwnedUnit): Promise<void> => {
+    const gain = async (unit: VersionedUnit): Promise<void> => {
         wanted.set(unit.name, Promise.resolve());
         wanted.set(unit.name, openHome(unit));
     };
 
-    const yieldHome = async (unit: OwnedUnit): Promise<void> => {
+    const yieldHome = async (unit: VersionedUnit): Promise<void> => {
         const opening = wanted.get(unit.name);
         wanted.delete(unit.name);
         await opening;
@@ -132,7 +132,7 @@
     };
 
     return {
-        keeper: { gain, yield: yieldHome },
+        unitHandler: { acquire: gain, release: yieldHome },
         own: () => options.isOpen() ? homes.get(options.sessionId()) : undefined,
         held: () => [...homes.values()],
         find: homeId => homes.get(homeId),
--- a/packages/puffinarch/src/core/membership.ts
+++ b/packages/puffinarch/src/core/membership.ts
@@ -9,7 +9,7 @@
 import type { Clock, TableRow, Vm, VmListing } from "../types/ports.js";
 
 /** A unit's row with its version. The owner may be any session, or none. */
-export interface OwnedUnit extends UnitRow {
+export interface VersionedUnit extends UnitRow {
     readonly version: number;
 }
 
@@ -43,8 +43,8 @@
     liveSessions(): readonly SessionRow[];
     /** Milliseconds since this daemon found the session dead; undefined while the session may be alive. */
     deadForMs(sessionId: string): number | undefined;
-    unit(key: string): OwnedUnit | undefined;
-    units(): readonly OwnedUnit[];
+    unit(key: string): VersionedUnit | undefined;
+    units(): readonly VersionedUnit[];
     /** Session that owns the unit; undefined if there is none or it is dead. */
     ownerOf(key: string): SessionRow | undefined;
     /** Latest gossip of the session; undefined if it is older than `gossipMaxAgeMs`. */
@@ -100,7 +100,7 @@
     let vmsById = new Map<string, Vm>();
     const everListedVmIds = new Set<string>();
     let sessionsByVm = new Map<string, SessionRow>();
-    let unitsByKey = new Map<string, OwnedUnit>();
+    let unitsByKey = new Map<string, VersionedUnit>();
     const deadSinceMs = new Map<string, number>();
     const gossipBySession = new Map<string, ReceivedGossip>();
 
--- a/packages/puffinarch/src/core/node.ts
+++ b/packages/puffinarch/src/core/node.ts
@@ -29,7 +29,7 @@
 import { createOwnership } from "./ownership.js";
 import { createRackOwner } from "./rackOwner.js";
 import { createRequestClaims, type RequestClaims } from "./requestClaims.js";
-import type { Room } from "./rooms.js";
+import type { OwnerCapacity } from "./rooms.js";
 import { createRouter, type Router } from "./router.js";
 import { createSession } from "./session.js";
 import { createSlots, type Slots } from "./slots.js";
@@ -246,16 +246,21 @@
         drainTimeoutMs: settings.drainTimeoutMs,
     });
 
-    const rooms = (): readonly Room[] => {
+    const rooms = (): readonly OwnerCapacity[] => {
         const own = rackOwner.summary();
-        const known: Room[] = [{ sessionId: sessionId(), near: true, free: own.free, mostFree: own.mostFree }];
+        const known: OwnerCapacity[] = [{
+            sessionId: sessionId(),
+            inSameDataCentre: true,
+            free: own.free,
+            mostFree: own.mostFree,
+        }];
         for (const peer of membership.peers()) {
             const gossip = membership.gossipOf(peer.sessionId);
             if (gossip !== undefined && gossip.capacity.workers > 0) {
                 const { free, mostFree } = gossip.capacity;
                 known.push({
                     sessionId: peer.sessionId,
-                    near: peer.dataCentre === settings.dataCentre,
+                    inSameDataCentre: peer.dataCentre === settings.dataCentre,
                     free,
                     mostFree,
                 });
@@ -331,7 +336,7 @@
         batchesPerSecond: () => settings.journalBatchesPerSecond / liveDaemons(),
         urgentBatchesPerSecond: () => settings.urgentBatchesPerSecond / liveDaemons(),
         maxPendingEntries: settings.maxPendingEntries,
-        onFenced: key => ownership.forfeit(key),
+        onFenced: key => ownership.drop(key),
         homeOptions,
     });
 
@@ -345,7 +350,7 @@
         session,
         dataCentre: settings.dataCentre,
         deathGraceMs: settings.deathGraceMs,
-        keepers: { rack: rackOwner.keeper, upstream: slots.keeper, home: homes.keeper },
+        unitHandlers: { rack: rackOwner.unitHandler, upstream: slots.unitHandler, home: homes.unitHandler },
     });
 
     const jobs = createJobs({
@@ -382,7 +387,7 @@
         try {
             const sentAtMs = clock.monotonicMs();
             const heard = await call(peer.sessionId, "gossip", message);
-            session.notePromise(peer.sessionId, sentAtMs, heard.promiseMs);
+            session.recordPromise(peer.sessionId, sentAtMs, heard.promiseMs);
             await adoptFrom(peer.sessionId, heard.configurationVersion);
         }
         catch (error) {
@@ -474,7 +479,9 @@
         gossip: async heard => {
             membership.setGossip(heard);
             void adoptFrom(heard.sessionId, heard.configurationVersion).catch(() => undefined);
-            const promiseMs = session.isOpen() && heard.deputy === sessionId() ? deputy.promise(heard.sessionId) : 0;
+            const promiseMs = session.isOpen() && heard.deputy === sessionId()
+                ? deputy.grantPromise(heard.sessionId)
+                : 0;
             return { configurationVersion: configuration.inForce().version, promiseMs };
         },
         configuration: async (): Promise<Configuration> => configuration.inForce(),
@@ -512,7 +519,7 @@
 
     /** Another session has taken this one over: stop acting, and begin anew. */
     const rejoin = async (): Promise<void> => {
-        await ownership.abandon();
+        await ownership.dropAll();
         await session.open(ownAddress);
         log.write("warn", "sessionReopened", { daemonId: sessionId() });
     };
@@ -529,7 +536,7 @@
         refreshRound += 1;
         const readsHead = refreshRound % configurationEvery === 1;
         await Promise.all([refresh(), readsHead ? configuration.refresh() : Promise.resolve()]);
-        await deputy.fenceLapsed();
+        await deputy.fenceExpired();
     };
 
     let gossipLoop: Loop | undefined;
--- a/packages/puffinarch/src/core/ownership.ts
+++ b/packages/puffinarch/src/core/ownership.ts
@@ -10,15 +10,15 @@
 import { vmRoles } from "../types/ports.js";
 import { pickMember } from "../utils/rendezvous.js";
 import { sleep } from "../utils/time.js";
-import type { Membership, OwnedUnit } from "./membership.js";
+import type { Membership, VersionedUnit } from "./membership.js";
 import type { Session } from "./session.js";
 
 /** Handles the units of one kind while this daemon owns them. */
-export interface UnitKeeper {
+export interface UnitHandler {
     /** Called once this session owns the unit; starts to act on it. */
-    gain(unit: OwnedUnit): Promise<void>;
+    acquire(unit: VersionedUnit): Promise<void>;
     /** Called when the unit is given up or lost; resolves once this daemon has stopped acting on it. */
-    yield(unit: OwnedUnit): Promise<void>;
+    release(unit: VersionedUnit): Promise<void>;
 }
 
 /** Dependencies and settings of `createOwnership`. */
@@ -34,7 +34,7 @@
     /** Wait before a dead session's units are claimed; has to exceed the longest time that its messages are in flight. */
     readonly deathGraceMs: number;
     /** Handlers of the units, by kind. */
-    readonly keepers: Readonly<Record<UnitKind, UnitKeeper>>;
+    readonly unitHandlers: Readonly<Record<UnitKind, UnitHandler>>;
 }
 
 /** The units that a daemon owns. */
@@ -42,13 +42,13 @@
     /** Reads the VM list and the rows of sessions and units, then claims units or hands one over; run at an interval. */
     refresh(): Promise<void>;
     owns(key: string): boolean;
-    owned(kind: UnitKind): readonly OwnedUnit[];
+    owned(kind: UnitKind): readonly VersionedUnit[];
     /** Hands all units over and closes the session. */
     close(): Promise<void>;
     /** Stops acting on all units without writing to the table; for a session that was fenced. */
-    abandon(): Promise<void>;
+    dropAll(): Promise<void>;
     /** Stops acting on a unit that another session owns by now, without writing to the table. */
-    forfeit(key: string): void;
+    drop(key: string): void;
 }
 
 /**
@@ -69,8 +69,8 @@
  * const loop = startLoop({ clock, log, name: "ownership", intervalMs: 1_000, run: ownership.refresh });
  */
 export const createOwnership = (options: OwnershipOptions): Ownership => {
-    const { table, vmList, clock, log, meter, membership, session, dataCentre, keepers } = options;
-    const owned = new Map<string, OwnedUnit>();
+    const { table, vmList, clock, log, meter, membership, session, dataCentre, unitHandlers } = options;
+    const owned = new Map<string, VersionedUnit>();
     /** Row version of each unit that was handed over, from before that; a late read of such a row must not start the unit again. */
     const handedOverVersions = new Map<string, number>();
     const ownId = session.id;
@@ -119,7 +119,7 @@
         return pickMember(unit.key, candidates.map(each => each.sessionId));
     };
 
-    const isClaimable = (unit: OwnedUnit | undefined): boolean => {
+    const isClaimable = (unit: VersionedUnit | undefined): boolean => {
         if (unit === undefined || unit.owner === "") {
             return true;
         }
@@ -164,9 +164,9 @@
         return claimed;
     };
 
-    const handOver = async (unit: OwnedUnit): Promise<void> => {
+    const handOver = async (unit: VersionedUnit): Promise<void> => {
         owned.delete(unit.key);
-        await keepers[unit.kind].yield(unit);
+        await unitHandlers[unit.kind].release(unit);
         const { key, kind, dataCentre: unitDataCentre, name } = unit;
         const value: UnitRow = { key, kind, dataCentre: unitDataCentre, name, owner: "" };
         for (let writesLeft = maxHandOverWrites; writesLeft > 0; writesLeft -= 1) {
@@ -206,14 +206,14 @@
                 if (known !== undefined) {
                     owned.delete(unit.key);
                     log.write("error", "unitLost", { unit: unit.key, owner: unit.owner });
-                    await keepers[unit.kind].yield(known);
+                    await unitHandlers[unit.kind].release(known);
                 }
                 continue;
             }
             if (known === undefined && unit.version > (handedOverVersions.get(unit.key) ?? -1)) {
                 owned.set(unit.key, unit);
                 log.write("info", "unitGained", { unit: unit.key });
-                await keepers[unit.kind].gain(unit);
+                await unitHandlers[unit.kind].acquire(unit);
             }
         }
     };
@@ -248,7 +248,7 @@
     const abandon = async (): Promise<void> => {
         const units = [...owned.values()];
         owned.clear();
-        await Promise.all(units.map(unit => keepers[unit.kind].yield(unit)));
+        await Promise.all(units.map(unit => unitHandlers[unit.kind].release(unit)));
     };
 
     return {
@@ -256,12 +256,12 @@
         owns: key => owned.has(key),
         owned: kind => [...owned.values()].filter(unit => unit.kind === kind),
         close,
-        abandon,
-        forfeit: key => {
+        dropAll: abandon,
+        drop: key => {
             const unit = owned.get(key);
             owned.delete(key);
             if (unit !== undefined) {
-                void keepers[unit.kind].yield(unit);
+                void unitHandlers[unit.kind].release(unit);
             }
         },
     };
--- a/packages/puffinarch/src/core/placer.ts
+++ b/packages/puffinarch/src/core/placer.ts
@@ -11,11 +11,11 @@
 import { pickMember } from "../utils/rendezvous.js";
 import type { TaskEntry } from "./homeState.js";
 import { urgentPriority } from "./roomMaker.js";
-import { createRooms, type Room, type Rooms } from "./rooms.js";
+import { createOwnerCapacities, type OwnerCapacities, type OwnerCapacity } from "./rooms.js";
 import { type QueueItem, shapeKey, type TaskQueue } from "./taskQueue.js";
 
 /** A task with the reservation that a rack owner made for it. */
-export interface Reserved {
+export interface ReservedTask {
     readonly task: TaskEntry;
     readonly placement: Placement;
 }
@@ -34,7 +34,7 @@
     readonly newAttemptId: (taskId: string) => string;
     readonly policyOf: (name: string) => Policy;
     /** Rack owners that tasks can be offered to now, with their estimated free capacity. */
-    readonly rooms: () => readonly Room[];
+    readonly ownerCapacities: () => readonly OwnerCapacity[];
     /** True if the team's quota allows this much more. */
     readonly withinQuota: (team: string, size: Resources) => boolean;
     /** Thousandths of a core that the team's active tasks of this home hold; teams that hold less come first. */
@@ -46,7 +46,7 @@
     /** Returns reservations to an owner and removes the earmarks for these keys there. */
     readonly release: (owner: string, placements: readonly Placement[], keepKeys: readonly string[]) => Promise<void>;
     /** Commits the reservations to the journal and has the tasks started. */
-    readonly commit: (reserved: readonly Reserved[], gang: boolean) => Promise<void>;
+    readonly commit: (reserved: readonly ReservedTask[], gang: boolean) => Promise<void>;
     /** False for a task that has been cancelled or placed since it was queued. */
     readonly isWaiting: (task: TaskEntry) => boolean;
     /** A task that has waited this long is offered even to an owner without free capacity, which then makes room for it. */
@@ -59,7 +59,7 @@
     readonly offer: TaskOffer;
 }
 
-interface OwnedReservation extends Reserved {
+interface OwnedReservation extends ReservedTask {
     readonly owner: string;
 }
 
@@ -128,7 +128,7 @@
      * An owner with enough free capacity. Without one, urgent and starved tasks go to an owner picked by hashing, always the
      * same one, so that it can make room for them.
      */
-    const ownerFor = (item: QueueItem, task: TaskEntry, capacities: Rooms): string | undefined => {
+    const ownerFor = (item: QueueItem, task: TaskEntry, capacities: OwnerCapacities): string | undefined => {
         const owner = capacities.choose(item.size, options.policyOf(item.policy).placement);
         const starved = waitedMsOf(item, task) >= options.starvationMs;
         if (owner !== undefined || (item.priority < urgentPriority && !starved)) {
@@ -138,7 +138,7 @@
         return pickMember(key, capacities.owners());
     };
 
-    const placeSingles = async (items: readonly QueueItem[], capacities: Rooms): Promise<number> => {
+    const placeSingles = async (items: readonly QueueItem[], capacities: OwnerCapacities): Promise<number> => {
         const byOwner = new Map<string, Offered[]>();
         const unplaced: QueueItem[] = [];
         for (const item of items) {
@@ -155,7 +155,7 @@
         const counts = await Promise.all([...byOwner].map(async ([owner, offered]) => {
             const placements = await options.offer(owner, offered.map(each => each.offer));
             const placementsById = new Map(placements.map(placement => [placement.attemptId, placement]));
-            const reserved: Reserved[] = [];
+            const reserved: ReservedTask[] = [];
             for (const { item, task, offer } of offered) {
                 const placement = placementsById.get(offer.attemptId);
                 if (placement === undefined) {
@@ -180,7 +180,7 @@
     const groupByOwner = (
         item: QueueItem,
         tasks: readonly TaskEntry[],
-        capacities: Rooms,
+        capacities: OwnerCapacities,
     ): readonly (readonly [string, readonly Offered[]])[] | undefined => {
         const byOwner = new Map<string, Offered[]>();
         for (const task of tasks) {
@@ -200,7 +200,7 @@
         owner: string,
         offered: readonly Offered[],
         held: OwnedReservation[],
-        capacities: Rooms,
+        capacities: OwnerCapacities,
     ): Promise<readonly TaskEntry[]> => {
         const placements = await options.offer(owner, offered.map(each => each.offer));
         const placementsById = new Map(placements.map(placement => [placement.attemptId, placement]));
@@ -223,7 +223,7 @@
      * Places all tasks of a gang or none. Tasks that one owner refuses are offered to other owners; if none is left, all
      * reservations are released.
      */
-    const placeGang = async (item: QueueItem, capacities: Rooms): Promise<number> => {
+    const placeGang = async (item: QueueItem, capacities: OwnerCapacities): Promise<number> => {
         const held: OwnedReservation[] = [];
         const askedOwners = new Set<string>();
         let remaining = item.tasks;
@@ -285,10 +285,10 @@
     return {
         round: async () => {
             const items = admitWithinQuota(queue.take(maxItemsPerRound, clock.monotonicMs(), options.useOf));
-            const capacities = createRooms(options.rooms(), random);
+            const capacities = createOwnerCapacities(options.ownerCapacities(), random);
             let placed = await placeSingles(items.filter(item => !item.gang), capacities);
             for (const item of items.filter(each => each.gang)) {
-                placed += await placeGang(item, createRooms(options.rooms(), random));
+                placed += await placeGang(item, createOwnerCapacities(options.ownerCapacities(), random));
             }
             return placed;
         },
--- a/packages/puffinarch/src/core/quarantine.ts
+++ b/packages/puffinarch/src/core/quarantine.ts
@@ -8,16 +8,16 @@
 import type { Clock } from "../types/ports.js";
 
 /** `trusted` accepts any attempt, `quarantined` none, and `probing` one at a time. */
-export type Trust = "trusted" | "quarantined" | "probing";
+export type QuarantineState = "trusted" | "quarantined" | "probing";
 
 /** Quarantine state of the workers of one rack owner. */
 export interface Quarantine {
     /** Ends the quarantine and resets the count of failures. */
-    noteSuccess(workerId: string): void;
+    recordSuccess(workerId: string): void;
     /** Counts a failure; quarantines the worker, for twice as long each time, once the limits are reached. */
-    noteFailure(workerId: string, jobId: string): void;
+    recordFailure(workerId: string, jobId: string): void;
     /** State of the worker now: `probing` once the delay since the last failure has passed, `trusted` after twice that. */
-    trust(workerId: string): Trust;
+    stateOf(workerId: string): QuarantineState;
     /** Drops what is recorded about a worker that is no longer owned. */
     forget(workerId: string): void;
 }
@@ -64,10 +64,10 @@
     });
 
     return {
-        noteSuccess: workerId => {
+        recordSuccess: workerId => {
             records.delete(workerId);
         },
-        noteFailure: (workerId, jobId) => {
+        recordFailure: (workerId, jobId) => {
             const record = records.get(workerId) ?? newRecord();
             records.set(workerId, record);
             record.failures += 1;
@@ -77,7 +77,7 @@
                 record.probeAtMs = clock.monotonicMs() + record.probeDelayMs;
             }
         },
-        trust: workerId => {
+        stateOf: workerId => {
             const record = records.get(workerId);
             if (record === undefined || !isQuarantined(record)) {
                 return "trusted";
--- a/packages/puffinarch/src/core/rackOwner.ts
+++ b/packages/puffinarch/src/core/rackOwner.ts
@@ -27,13 +27,13 @@
 import { type Attempt, createAttempts, type OwnedWorker, type WorkerState } from "./attempts.js";
 import { createEarmarks } from "./earmarks.js";
 import { createLedger } from "./ledger.js";
-import type { Membership, OwnedUnit } from "./membership.js";
-import type { UnitKeeper } from "./ownership.js";
+import type { Membership, VersionedUnit } from "./membership.js";
+import type { UnitHandler } from "./ownership.js";
 import { createQuarantine } from "./quarantine.js";
 import { createReportOutbox } from "./reportOutbox.js";
-import { createRoomMaker } from "./roomMaker.js";
+import { createPreemptor } from "./roomMaker.js";
 import { correctedSize, remediesFor } from "./usage.js";
-import { readReport } from "./workerReport.js";
+import { applyReport } from "./workerReport.js";
 
 /**
  * Owner of the workers of some racks. `place`, `start`, `release` and `stop` ignore requests of an earlier holder of a home,
@@ -41,7 +41,7 @@
  */
 export interface RackOwner {
     /** Handles the racks as units. */
-    readonly keeper: UnitKeeper;
+    readonly unitHandler: UnitHandler;
     /** Applies the VM list: adds new workers and removes those that are gone; also expires reservations and earmarks. */
     refresh(): void;
     /** Reserves workers for offers; an offer without a placement in the result was refused. */
@@ -120,7 +120,7 @@
     const { clock, random, log, meter, workers, membership, mayAct } = options;
     const ledger = createLedger();
     const attempts = createAttempts(clock, ledger);
-    const earmarks = createEarmarks({ clock, keptMs: earmarkMs, oneInWorkers: workersPerEarmark });
+    const earmarks = createEarmarks({ clock, earmarkMs, workersPerEarmark });
     const quarantine = createQuarantine({
         clock,
         failures: failuresUntilQuarantine,
@@ -129,7 +129,7 @@
         maxProbeMs,
     });
     const ownedWorkers = new Map<string, OwnedWorker>();
-    const makeRoom = createRoomMaker({
+    const makeRoom = createPreemptor({
         clock,
         meter,
         ledger,
@@ -137,7 +137,7 @@
         attempts,
         workers: ownedWorkers,
         starvationMs: options.starvationMs,
-        onKept: () => [...ownedWorkers.values()].forEach(each => updateOpen(each)),
+        onEarmarked: () => [...ownedWorkers.values()].forEach(each => updateOpen(each)),
         stop: (worker, attemptIds) => stopInBackground(worker, attemptIds, true),
     });
     const racks = new Set<string>();
@@ -164,7 +164,7 @@
 
     const updateOpen = (worker: OwnedWorker): void => {
         const { vmId } = worker.vm;
-        const quarantineState = quarantine.trust(vmId);
+        const quarantineState = quarantine.stateOf(vmId);
         const acceptsAttempts = quarantineState === "trusted"
             || (quarantineState === "probing" && worker.attempts.size === 0);
         ledger.setOpen(
@@ -184,11 +184,11 @@
     const recordOutcome = (attempt: Attempt, outcome: AttemptOutcome): void => {
         const { vmId } = attempt.worker.vm;
         if (outcome === "completed") {
-            quarantine.noteSuccess(vmId);
+            quarantine.recordSuccess(vmId);
         }
         if (outcome === "failed") {
-            quarantine.noteFailure(vmId, jobIdOf(attempt.taskId));
-            if (quarantine.trust(vmId) === "quarantined") {
+            quarantine.recordFailure(vmId, jobIdOf(attempt.taskId));
+            if (quarantine.stateOf(vmId) === "quarantined") {
                 meter.count("quarantines");
                 log.write("warn", "workerQuarantined", { workerId: vmId });
             }
@@ -286,7 +286,7 @@
         worker.failures = 0;
         const onlyRepeats = report.ended.length > 0
             && report.ended.every(each => attempts.find(each.attemptId)?.state === "ended");
-        readReport({ ledger, attempts, onRunning: confirmRunning, onEnded: endAttempt }, worker, report, sentAtMs);
+        applyReport({ ledger, attempts, onRunning: confirmRunning, onEnded: endAttempt }, worker, report, sentAtMs);
         for (const attemptId of acknowledged) {
             worker.acknowledge.delete(attemptId);
         }
@@ -327,7 +327,7 @@
             clockMs: 0,
             clockReadAtMs: 0,
             acknowledge: new Set(),
-            shown: new Map(),
+            reportedAttempts: new Map(),
             seen: undefined,
             attempts: new Set(),
             loop: undefined,
@@ -615,7 +615,7 @@
         }
     };
 
-    const releaseRack = async (unit: OwnedUnit): Promise<void> => {
+    const releaseRack = async (unit: VersionedUnit): Promise<void> => {
         racks.delete(unit.key);
         const leaving = [...ownedWorkers.values()].filter(worker => worker.rackKey === unit.key);
         leaving.forEach(updateOpen);
@@ -633,7 +633,7 @@
         workerId: worker.vm.vmId,
         dataCentre: worker.vm.dataCentre,
         rack: worker.vm.rack ?? "",
-        state: quarantine.trust(worker.vm.vmId) === "trusted" ? worker.state : quarantine.trust(worker.vm.vmId),
+        state: quarantine.stateOf(worker.vm.vmId) === "trusted" ? worker.state : quarantine.stateOf(worker.vm.vmId),
         capacity: worker.vm.capacity ?? noResources,
         reserved: ledger.worker(worker.vm.vmId)?.reserved ?? noResources,
         used: [...worker.attempts].reduce((sum, attempt) => add(sum, attempt.used), noResources),
@@ -654,12 +654,12 @@
     };
 
     return {
-        keeper: {
-            gain: async unit => {
+        unitHandler: {
+            acquire: async unit => {
                 racks.add(unit.key);
                 refresh();
             },
-            yield: releaseRack,
+            release: releaseRack,
         },
         refresh,
         place,
--- a/packages/puffinarch/src/core/roomMaker.ts
+++ b/packages/puffinarch/src/core/roomMaker.ts
@@ -14,10 +14,10 @@
 export const urgentPriority = 9;
 
 /** Makes room for an offer that was refused; returns what it did as a reason for the decision, undefined if nothing. */
-export type RoomMaker = (offer: TaskOffer) => string | undefined;
+export type Preemptor = (offer: TaskOffer) => string | undefined;
 
 /** Dependencies and settings of a preemptor. */
-export interface RoomMakerOptions {
+export interface PreemptorOptions {
     readonly clock: Clock;
     readonly meter: Meter;
     readonly ledger: Ledger;
@@ -27,7 +27,7 @@
     /** A task that has waited this long is starved. */
     readonly starvationMs: number;
     /** Called after a worker was earmarked, to close it for other tasks and open any worker whose earmark it replaced. */
-    readonly onKept: () => void;
+    readonly onEarmarked: () => void;
     /** Saves a checkpoint of each attempt on the worker and stops it. */
     readonly stop: (worker: OwnedWorker, attemptIds: readonly string[]) => void;
 }
@@ -50,14 +50,14 @@
  * @example
  * const reason = makeRoom(offer) ?? "no worker of these racks has room";
  */
-export const createRoomMaker = (options: RoomMakerOptions): RoomMaker => {
+export const createPreemptor = (options: PreemptorOptions): Preemptor => {
     const { clock, meter, ledger, earmarks, attempts, workers } = options;
 
     const earmarkFor = (offer: TaskOffer, worker: OwnedWorker): boolean => {
         const sinceMs = clock.monotonicMs() - offer.waitedMs;
-        const earmarked = earmarks.keep(offer.keepKey, worker.vm.vmId, workers.size, sinceMs);
+        const earmarked = earmarks.add(offer.keepKey, worker.vm.vmId, workers.size, sinceMs);
         if (earmarked) {
-            options.onKept();
+            options.onEarmarked();
         }
         return earmarked;
     };
--- a/packages/puffinarch/src/core/rooms.ts
+++ b/packages/puffinarch/src/core/rooms.ts
@@ -8,10 +8,10 @@
 import { fits, type Resources, subtract } from "../types/resources.js";
 
 /** Estimated free capacity of one rack owner. */
-export interface Room {
+export interface OwnerCapacity {
     readonly sessionId: string;
     /** True if the owner is in the data centre of this daemon; such owners are preferred. */
-    readonly near: boolean;
+    readonly inSameDataCentre: boolean;
     /** Sum over the owner's workers that accept any task. */
     readonly free: Resources;
     /** Free capacity of the worker with the most free processors. */
@@ -19,7 +19,7 @@
 }
 
 /** Estimated free capacity of all known rack owners. */
-export interface Rooms {
+export interface OwnerCapacities {
     /**
      * Picks an owner for a task and subtracts the task's size from its free capacity; undefined if no owner seems to have
      * enough.
@@ -31,7 +31,7 @@
     owners(): readonly string[];
 }
 
-type Comparator = (left: Room, right: Room) => number;
+type Comparator = (left: OwnerCapacity, right: OwnerCapacity) => number;
 
 const mostFreeCpuFirst: Comparator = (left, right) => right.free.cpuMillis - left.free.cpuMillis;
 const leastFreeCpuFirst: Comparator = (left, right) => left.free.cpuMillis - right.free.cpuMillis;
@@ -51,12 +51,12 @@
  * @example
  * createOwnerCapacities([], random).choose(noResources, "bestFit"); // undefined
  */
-export const createRooms = (known: readonly Room[], random: Random): Rooms => {
+export const createOwnerCapacities = (known: readonly OwnerCapacity[], random: Random): OwnerCapacities => {
     const ownersById = new Map(known.map(room => [room.sessionId, room]));
 
-    const candidates = (size: Resources): readonly Room[] => {
+    const candidates = (size: Resources): readonly OwnerCapacity[] => {
         const fitting = [...ownersById.values()].filter(room => fits(size, room.mostFree) && fits(size, room.free));
-        const local = fitting.filter(room => room.near);
+        const local = fitting.filter(room => room.inSameDataCentre);
         return local.length > 0 ? local : fitting;
     };
 
--- a/packages/puffinarch/src/core/session.ts
+++ b/packages/puffinarch/src/core/session.ts
@@ -32,7 +32,7 @@
     /** Renews the row once `renewIntervalMs` has passed, or immediately if another deputy has to be named. */
     renew(): Promise<void>;
     /** Records a deputy's promise of `promiseMs`; it counts from `sentAtMs`, when this session sent its gossip. */
-    notePromise(from: string, sentAtMs: number, promiseMs: number): void;
+    recordPromise(from: string, sentAtMs: number, promiseMs: number): void;
     /** Writes a new state to the row; gives up silently after 25 attempts, 200 ms apart, or once fenced. */
     setState(state: SessionState): Promise<void>;
 }
@@ -213,7 +213,7 @@
         isFenced: () => fenced,
         mayAct,
         renew,
-        notePromise: (from, sentAtMs, promiseMs) => {
+        recordPromise: (from, sentAtMs, promiseMs) => {
             if (row !== undefined && !deputyUncertain && from === row.deputy && promiseMs > 0) {
                 promiseUntilMs = Math.max(promiseUntilMs, sentAtMs + promiseMs);
             }
--- a/packages/puffinarch/src/core/slots.ts
+++ b/packages/puffinarch/src/core/slots.ts
@@ -8,8 +8,8 @@
 import type { Clock, Log, Meter, Random, UpstreamPort, Vm } from "../types/ports.js";
 import { errorOf, failureOf } from "../utils/errors.js";
 import { type Loop, sleep, startLoop } from "../utils/time.js";
-import type { Membership, OwnedUnit } from "./membership.js";
-import type { UnitKeeper } from "./ownership.js";
+import type { Membership, VersionedUnit } from "./membership.js";
+import type { UnitHandler } from "./ownership.js";
 
 /** States of an upstream at its owner. */
 export const upstreamStates = {
@@ -28,15 +28,15 @@
     /** Number of upstreams that the choice was made from. */
     readonly alternatives: number;
     /** Frees the slot; further calls have no effect. */
-    giveBack(): void;
+    release(): void;
     /** Changes the upstream's state after it refused a connection or announced that it leaves; ignored unless it is live. */
-    mark(state: "unreachable" | "leaving"): void;
+    setUpstreamState(state: "unreachable" | "leaving"): void;
 }
 
 /** Slots of the upstreams that this daemon owns, and one queue per service for them. */
 export interface Slots {
     /** Handles the upstreams as units. */
-    readonly keeper: UnitKeeper;
+    readonly unitHandler: UnitHandler;
     /** Takes a slot of the service if one is free and this session may act. */
     tryTake(service: string): Slot | undefined;
     /**
@@ -128,14 +128,14 @@
             upstreamId: entry.upstreamId,
             address: entry.vm.address,
             alternatives,
-            giveBack: () => {
+            release: () => {
                 if (held) {
                     held = false;
                     entry.slotsInUse -= 1;
                     serveQueue(entry.vm.service ?? "");
                 }
             },
-            mark: state => {
+            setUpstreamState: state => {
                 if (entry.state === "live") {
                     setState(entry, state);
                 }
@@ -225,7 +225,7 @@
         });
     };
 
-    const acquireUpstream = async (unit: OwnedUnit): Promise<void> => {
+    const acquireUpstream = async (unit: VersionedUnit): Promise<void> => {
         const vm = membership.vm(unit.name);
         if (vm === undefined || entries.has(unit.name)) {
             return;
@@ -247,7 +247,7 @@
         void entry.loop?.stop();
     };
 
-    const releaseUpstream = async (unit: OwnedUnit): Promise<void> => {
+    const releaseUpstream = async (unit: VersionedUnit): Promise<void> => {
         const entry = entries.get(unit.name);
         if (entry === undefined) {
             return;
@@ -275,7 +275,7 @@
     };
 
     return {
-        keeper: { gain: acquireUpstream, yield: releaseUpstream },
+        unitHandler: { acquire: acquireUpstream, release: releaseUpstream },
         tryTake,
         take,
         free: () => {
--- a/packages/puffinarch/src/core/workerReport.ts
+++ b/packages/puffinarch/src/core/workerReport.ts
@@ -6,7 +6,7 @@
 import type { AttemptOutcome } from "../types/job.js";
 import type { WorkerReport } from "../types/ports.js";
 import { noResources } from "../types/resources.js";
-import { type Attempt, type Attempts, foundParts, type OwnedWorker } from "./attempts.js";
+import { adoptedSpec, type Attempt, type Attempts, type OwnedWorker } from "./attempts.js";
 import type { Ledger } from "./ledger.js";
 
 /** State and handlers that a report is applied to. */
@@ -21,14 +21,14 @@
 
 /** Updates the usage of running attempts, and records those that this owner did not know, such as an earlier owner's. */
 const adoptRunning = ({ ledger, attempts }: WorkerReportOptions, worker: OwnedWorker): void => {
-    for (const running of worker.shown.values()) {
+    for (const running of worker.reportedAttempts.values()) {
         const known = attempts.find(running.attemptId);
         if (known !== undefined) {
             known.used = running.used;
             continue;
         }
         ledger.adopt(worker.vm.vmId, running.attemptId, running.size);
-        attempts.track(worker, foundParts(running), running.homeId, "running").used = running.used;
+        attempts.track(worker, adoptedSpec(running), running.homeId, "running").used = running.used;
     }
 };
 
@@ -38,7 +38,7 @@
             continue;
         }
         const attempt = attempts.find(attemptId)
-            ?? attempts.track(worker, foundParts({ attemptId, taskId, size: noResources }), homeId, "running");
+            ?? attempts.track(worker, adoptedSpec({ attemptId, taskId, size: noResources }), homeId, "running");
         onEnded(attempt, outcome, result, checkpoint);
     }
 };
@@ -54,7 +54,7 @@
     sentAtMs: number,
 ): void => {
     for (const attempt of [...worker.attempts]) {
-        if (worker.shown.has(attempt.attemptId)) {
+        if (worker.reportedAttempts.has(attempt.attemptId)) {
             if (attempt.state === "starting") {
                 options.onRunning(attempt);
             }
@@ -72,13 +72,13 @@
 /** Applies the report's changes to the last known set of running attempts. */
 const applyChanges = (worker: OwnedWorker, { complete, running, gone, bootId, version }: WorkerReport): void => {
     if (complete) {
-        worker.shown.clear();
+        worker.reportedAttempts.clear();
     }
     for (const attempt of running) {
-        worker.shown.set(attempt.attemptId, attempt);
+        worker.reportedAttempts.set(attempt.attemptId, attempt);
     }
     for (const attemptId of gone) {
-        worker.shown.delete(attemptId);
+        worker.reportedAttempts.delete(attemptId);
     }
     worker.seen = { bootId, version };
 };
@@ -90,7 +90,7 @@
  * @example
  * applyReport(options, worker, report, sentAtMs);
  */
-export const readReport = (
+export const applyReport = (
     options: WorkerReportOptions,
     worker: OwnedWorker,
     report: WorkerReport,
--- a/packages/puffinarch/src/puffinarch.ts
+++ b/packages/puffinarch/src/puffinarch.ts
@@ -6,11 +6,11 @@
 // A node: homes of jobs, owners of racks and upstreams, sessions and configuration.
 export { type AttemptOwners, type AttemptOwnersOptions, createAttemptOwners, type OwnerAnswer } from "./internal.js";
 export {
+    adoptedSpec,
     type Attempt,
-    type AttemptParts,
     type Attempts,
+    type AttemptSpec,
     createAttempts,
-    foundParts,
     type OwnedWorker,
     type WorkerState,
     workerStates,
@@ -46,18 +46,24 @@
     type RowClaim,
 } from "./internal.js";
 export { createLedger, type Ledger, type LedgerWorker } from "./internal.js";
-export { createMembership, type Membership, type MembershipOptions, type OwnedUnit, sessionIdOf } from "./internal.js";
+export {
+    createMembership,
+    type Membership,
+    type MembershipOptions,
+    sessionIdOf,
+    type VersionedUnit,
+} from "./internal.js";
 export { type Answers, createNode, type Node, type NodePorts } from "./internal.js";
 export { defaultNodeSettings, type NodeSettings } from "./internal.js";
 export { type OutcomeContext, recordFor } from "./internal.js";
-export { createOwnership, type Ownership, type OwnershipOptions, type UnitKeeper } from "./internal.js";
-export { createPlacer, type Placer, type PlacerOptions, type Reserved } from "./internal.js";
-export { createQuarantine, type Quarantine, type QuarantineOptions, type Trust } from "./internal.js";
+export { createOwnership, type Ownership, type OwnershipOptions, type UnitHandler } from "./internal.js";
+export { createPlacer, type Placer, type PlacerOptions, type ReservedTask } from "./internal.js";
+export { createQuarantine, type Quarantine, type QuarantineOptions, type QuarantineState } from "./internal.js";
 export { createRackOwner, type RackOwner, type RackOwnerOptions } from "./internal.js";
 export { createReportOutbox, type ReportOutbox, type ReportOutboxOptions } from "./internal.js";
 export { createRequestClaims, type RequestClaim, type RequestClaims, type RequestClaimsOptions } from "./internal.js";
-export { createRoomMaker, type RoomMaker, type RoomMakerOptions, urgentPriority } from "./internal.js";
-export { createRooms, type Room, type Rooms } from "./internal.js";
+export { createPreemptor, type Preemptor, type PreemptorOptions, urgentPriority } from "./internal.js";
+export { createOwnerCapacities, type OwnerCapacities, type OwnerCapacity } from "./internal.js";
 export { createRouter, type Route, type Router, type RouterOptions } from "./internal.js";
 export { createSession, type Session, type SessionOptions } from "./internal.js";
 export {
@@ -71,7 +77,7 @@
 export { forgetRows, type LoadedSnapshot, loadSnapshot, saveSnapshot, type SaveSnapshotOptions } from "./internal.js";
 export { createTaskQueue, type QueueItem, shapeKey, type TaskQueue } from "./internal.js";
 export { correctedSize, remediesFor, type Remedy, type UsedAttempt } from "./internal.js";
-export { readReport, type WorkerReportOptions } from "./internal.js";
+export { applyReport, type WorkerReportOptions } from "./internal.js";
 
 // A shard: jobs made of steps, on workers that check fencing tokens; one daemon of a cell owns the shard at a time.
 export { type AdviceCallSizer, createAdviceCallSizer } from "./internal.js";
--- a/packages/puffinarchd/src/proxy.ts
+++ b/packages/puffinarchd/src/proxy.ts
@@ -233,12 +233,12 @@
             const result = await send(`${slot.address}${request.path}`, dispatcher, request, {});
             if (result.kind !== "answered") {
                 if (result.kind === "notRun") {
-                    slot.mark("unreachable");
+                    slot.setUpstreamState("unreachable");
                 }
                 return result;
             }
             if (result.answer.headers[requestHeaders.upstreamLeaving] !== undefined) {
-                slot.mark("leaving");
+                slot.setUpstreamState("leaving");
             }
             if (result.answer.headers[requestHeaders.notRun] !== undefined) {
                 return { kind: "notRun", reason: "the upstream refused the request" };
@@ -251,7 +251,7 @@
             return { kind: "answered", answer: { ...result.answer, headers } };
         }
         finally {
-            slot.giveBack();
+            slot.release();
         }
     };
 
