--- a/packages/puffinarch/src/core/home.ts
+++ b/packages/puffinarch/src/core/home.ts
@@ -1,9 +1,10 @@
 /**
- * The home of jobs: it accepts them durably, offers their tasks to rack owners, commits each attempt before it is
- * started, and is the one writer of every task's state.
+ * A home: a set of jobs with one journal, held by one session at a time. The holder accepts jobs durably, offers their
+ * tasks to rack owners, commits each attempt before it is started, and is the only writer of task states.
  *
- * While the table is out of reach, re-runnable tasks are started in the home's own data centre before their attempt is
- * committed. A new holder of the home therefore asks every rack owner there what it runs before it places anything.
+ * While the table is slow or unreachable, re-runnable tasks are started in the home's own data centre before their
+ * attempt is committed. A new holder therefore places nothing before it has queried every rack owner of that data centre
+ * for the attempts that it runs.
  */
 
 import type { Policy, WorkloadClass } from "../types/configuration.js";
@@ -35,29 +36,30 @@
 import type { LoadedSnapshot } from "./snapshots.js";
 import { createTaskQueue, type QueueItem } from "./taskQueue.js";
 
-/** The holder of one home. */
+/** One home, as its holder runs it. */
 export interface Home {
     readonly homeId: string;
     submit(spec: JobSpec): Promise<Job>;
     cancel(jobId: string): Promise<Job>;
     cancelTask(taskId: string): Promise<Task>;
+    /** Commits the reported ends of attempts; returns the ids of the attempts that need no further report. */
     report(reports: readonly AttemptReport[]): Promise<readonly string[]>;
     job(jobId: string): Job | undefined;
     jobs(team: string, afterJobId: string, limit: number): readonly Job[];
     tasks(jobId: string, afterIndex: number, limit: number): readonly Task[];
-    /** With its result, read from the object store where it is large. */
+    /** The task with its result; a large result is read from the object store. */
     task(taskId: string): Promise<Task | undefined>;
     queuedTasks(): number;
     activeTasks(): number;
     acceptedTasks(): number;
-    /** False while a new holder still asks rack owners what runs. */
+    /** False until a new holder has queried all rack owners for running attempts. */
     recovered(): boolean;
     /** Resources held by active tasks, by team. */
     teamUse(): ReadonlyMap<string, Resources>;
     close(): Promise<void>;
 }
 
-/** What a home needs. */
+/** Options of `createHome`. */
 export interface HomeOptions {
     readonly homeId: string;
     readonly dataCentre: string;
@@ -74,40 +76,40 @@
     readonly newAttemptId: (taskId: string) => string;
     readonly policyOf: (name: string) => Policy;
     readonly classOf: (name: string) => WorkloadClass;
-    /** Rack owners that can be offered tasks now. */
+    /** Estimated free room of the rack owners that tasks can be offered to now. */
     readonly rooms: () => readonly Room[];
-    /** True where the team's quota leaves room for this much more. */
+    /** Whether the team's quota allows this additional amount. */
     readonly withinQuota: (team: string, size: Resources) => boolean;
     readonly call: CallSession;
-    /** Whether this session may act now without the table. */
+    /** Whether this session may act on its units now; decided without the table. */
     readonly mayAct: () => boolean;
-    /** Saves a snapshot; true where it is in force. */
+    /** Saves a snapshot; resolves to true once it is committed as the latest one. */
     readonly saveSnapshot: (loaded: LoadedSnapshot) => Promise<boolean>;
-    /** Deletes directory rows of jobs that are forgotten. */
-    readonly forgetJobs: (jobIds: readonly string[]) => Promise<void>;
+    /** Deletes the directory rows of jobs that were dropped. */
+    readonly deleteJobRows: (jobIds: readonly string[]) => Promise<void>;
     readonly pumpIntervalMs: number;
     readonly reconcileIntervalMs: number;
     readonly starvationMs: number;
-    /** A commit that takes longer than this lets re-runnable tasks start before it. */
+    /** When a commit takes longer than this, re-runnable tasks start before it completes. */
     readonly earlyStartMs: number;
-    /** Batches after which a snapshot is taken. */
+    /** Number of journal batches after which a snapshot is saved. */
     readonly snapshotBatches: number;
     readonly maintainIntervalMs: number;
-    /** Longest wait for pending writes at a planned stop. */
+    /** Longest wait for pending writes when the home is closed. */
     readonly closeTimeoutMs: number;
-    /** Ended jobs are forgotten after this. */
+    /** Jobs that ended longer ago than this are dropped. */
     readonly retentionMs: number;
 }
 
-/** Priority from which a class's tasks do not wait for other records to share a write with. */
-const pressingPriority = 7;
-const inlineResultLength = 8 * 1024;
-const recoverRetryMs = 250;
-const firstFailureRestMs = 100;
-const maxFailureRestMs = 60_000;
+/** Records of classes with this priority or a higher one are urgent: they do not wait to share a batch with others. */
+const urgentCommitPriority = 7;
+const maxInlineResultLength = 8 * 1024;
+const recoveryRetryMs = 250;
+const firstRetryDelayMs = 100;
+const maxRetryDelayMs = 60_000;
 
-const restAfterFailures = (failures: number): number =>
-    failures === 0 ? 0 : Math.min(maxFailureRestMs, firstFailureRestMs * 2 ** Math.min(failures - 1, 20));
+const retryDelayAfter = (failures: number): number =>
+    failures === 0 ? 0 : Math.min(maxRetryDelayMs, firstRetryDelayMs * 2 ** Math.min(failures - 1, 20));
 
 /**
  * Opens a home whose state has been replayed.
@@ -120,14 +122,14 @@
     const { homeId, homeVersion, journal, state, clock, random, log, meter, objects, membership } = options;
     const queue = createTaskQueue();
     const teamUse = new Map<string, Resources>();
-    /** Attempts whose start may have reached an owner; an absent one that is not here never started. */
-    const startSent = new Set<string>();
-    /** Records that were applied before they were durable. */
-    const appliedEarly = new Set<JournalRecord>();
+    /** Ids of attempts whose start may have reached a rack owner; an absent attempt that is not in this set never started. */
+    const possiblyStarted = new Set<string>();
+    /** Records that were applied before they were durable; they must not be applied again after the commit. */
+    const appliedBeforeCommit = new Set<JournalRecord>();
     let acceptedTasks = 0;
     let closed = false;
     let recovered = [...state.jobs()].every(job => showJob(job, homeId).ended);
-    let snapshotAt = journal.nextSequence();
+    let snapshotSequence = journal.nextSequence();
 
     const write = async (records: readonly JournalRecord[], urgent = false): Promise<void> => {
         if (records.length === 0) {
@@ -135,27 +137,27 @@
         }
         await journal.append(records, urgent);
         for (const record of records) {
-            if (!appliedEarly.delete(record)) {
+            if (!appliedBeforeCommit.delete(record)) {
                 state.apply(record);
             }
         }
     };
 
     const classOf = (job: JobEntry): WorkloadClass => options.classOf(job.spec.workloadClass);
-    const isPressing = (job: JobEntry): boolean => classOf(job).priority >= pressingPriority;
+    const isUrgent = (job: JobEntry): boolean => classOf(job).priority >= urgentCommitPriority;
     const isGang = (job: JobEntry): boolean => classOf(job).kind === workloadKinds.gang;
 
-    const itemOf = (job: JobEntry, tasks: readonly TaskEntry[], gang: boolean): QueueItem => {
+    const queueItemOf = (job: JobEntry, tasks: readonly TaskEntry[], gang: boolean): QueueItem => {
         const { priority, policy } = classOf(job);
         const { team, taskSize } = job.spec;
         return { tasks, gang, priority, policy, team, size: taskSize, queuedAtMs: job.acceptedAtMs, tries: 0 };
     };
 
     const enqueueGang = (job: JobEntry): void => {
-        const open = job.tasks.filter(task => !isFinal(task.state));
-        if (!job.gangQueued && open.length > 0 && open.every(task => task.state === taskStates.queued)) {
+        const unfinished = job.tasks.filter(task => !isFinal(task.state));
+        if (!job.gangQueued && unfinished.length > 0 && unfinished.every(task => task.state === taskStates.queued)) {
             job.gangQueued = true;
-            queue.push(itemOf(job, open, true));
+            queue.push(queueItemOf(job, unfinished, true));
         }
     };
 
@@ -166,7 +168,7 @@
         }
         for (const task of job.tasks) {
             if (task.state === taskStates.queued) {
-                queue.push(itemOf(job, [task], false));
+                queue.push(queueItemOf(job, [task], false));
             }
         }
     };
@@ -177,7 +179,7 @@
         membership,
         log,
         call: options.call,
-        onStartUnknown: attemptIds => attemptIds.forEach(attemptId => startSent.add(attemptId)),
+        onStartUnknown: attemptIds => attemptIds.forEach(attemptId => possiblyStarted.add(attemptId)),
     });
 
     const noteRunning = (task: TaskEntry): void => {
@@ -190,8 +192,8 @@
         meter.record(`taskWaitMs.${task.job.spec.workloadClass}`, Math.max(0, task.startedAtMs - task.queuedAtMs));
     };
 
-    /** Takes what an owner says of attempts; the ones that surely do not run are settled at once. */
-    const takeStates = async (
+    /** Applies the attempt states that a rack owner returned; attempts that certainly do not run are settled at once. */
+    const applyStates = async (
         tasks: readonly TaskEntry[],
         { states }: AttemptsResponse,
         tenures: ReadonlyMap<string, string | undefined>,
@@ -199,16 +201,18 @@
         const reports: AttemptReport[] = [];
         for (const task of tasks) {
             const attemptId = task.attemptId ?? "";
-            const said: AttemptState | undefined = states[attemptId];
-            if (said === "running" || said === "starting" || said === "ended") {
-                startSent.add(attemptId);
+            const reported: AttemptState | undefined = states[attemptId];
+            if (reported === "running" || reported === "starting" || reported === "ended") {
+                possiblyStarted.add(attemptId);
                 task.confirmedBy = tenures.get(task.taskId);
             }
-            if (said === "running") {
+            if (reported === "running") {
                 noteRunning(task);
             }
-            if (said === "notStarted" || said === "absent") {
-                const outcome: AttemptOutcome = said === "absent" && startSent.has(attemptId) ? "absent" : "notStarted";
+            if (reported === "notStarted" || reported === "absent") {
+                const outcome: AttemptOutcome = reported === "absent" && possiblyStarted.has(attemptId)
+                    ? "absent"
+                    : "notStarted";
                 reports.push({ attemptId, taskId: task.taskId, outcome, result: "", checkpoint: "" });
             }
         }
@@ -216,10 +220,10 @@
     };
 
     const start = async (tasks: readonly TaskEntry[]): Promise<void> => {
-        await owners.call("start", tasks, takeStates);
+        await owners.call("start", tasks, applyStates);
     };
 
-    const startSoon = (tasks: readonly TaskEntry[]): void => {
+    const startInBackground = (tasks: readonly TaskEntry[]): void => {
         start(tasks).catch(error => log.write("debug", "startFailed", { ...failureOf(error) }));
     };
 
@@ -227,10 +231,10 @@
         await owners.call("stop", tasks, async () => {});
     };
 
-    const resultOf = async (
+    const storeResult = async (
         { attemptId, outcome, result }: AttemptReport,
     ): Promise<Pick<TaskEndedRecord, "result" | "resultKey">> => {
-        if (outcome !== "completed" || result.length <= inlineResultLength) {
+        if (outcome !== "completed" || result.length <= maxInlineResultLength) {
             return { result };
         }
         const resultKey = `results/${attemptId}`;
@@ -238,25 +242,26 @@
         return { resultKey };
     };
 
-    /** A task that fails again and again, such as a service that cannot start, comes back at growing intervals. */
-    const enqueueAfter = (task: TaskEntry, restMs: number): void => {
+    /** Queues a task again; the delay grows with its failures, so that a service that cannot start is not restarted in a tight loop. */
+    const enqueueAfterDelay = (task: TaskEntry, delayMs: number): void => {
         const enqueue = (): void => {
             if (!closed && task.state === taskStates.queued) {
-                queue.push(itemOf(task.job, [task], false));
-                pumpLoop.wake();
+                queue.push(queueItemOf(task.job, [task], false));
+                placementLoop.wake();
             }
         };
-        if (restMs === 0) {
+        if (delayMs === 0) {
             enqueue();
             return;
         }
-        clock.setTimer(restMs, enqueue);
+        clock.setTimer(delayMs, enqueue);
     };
 
+    /** Queues the task again. A gang is queued only as a whole, so its other members are stopped first. */
     const afterSettled = async (task: TaskEntry): Promise<void> => {
         if (!isGang(task.job)) {
             if (task.state === taskStates.queued) {
-                enqueueAfter(task, restAfterFailures(task.failures));
+                enqueueAfterDelay(task, retryDelayAfter(task.failures));
             }
             return;
         }
@@ -274,17 +279,17 @@
     };
 
     const settle = async (task: TaskEntry, ended: AttemptReport): Promise<void> => {
-        const result = await resultOf(ended);
+        const result = await storeResult(ended);
         const record = recordFor(task, ended, { nowMs: clock.nowMs(), workloadClass: classOf(task.job), result });
         if (ended.outcome === "failed" && task.workerId !== undefined) {
             task.failedOn.add(task.workerId);
             task.failures += 1;
         }
         await write([record]);
-        startSent.delete(ended.attemptId);
+        possiblyStarted.delete(ended.attemptId);
         meter.count(`attempts.${ended.outcome}`);
         await afterSettled(task);
-        pumpLoop.wake();
+        placementLoop.wake();
     };
 
     const report = async (reports: readonly AttemptReport[]): Promise<readonly string[]> => {
@@ -292,6 +297,7 @@
         await Promise.all(reports.map(async each => {
             const task = state.task(each.taskId);
             const abandoned = task?.abandonedIds.includes(each.attemptId) === true;
+            // Recovery may still adopt an unknown attempt, so its report is left unsettled until then.
             if (!recovered && !abandoned && task?.attemptId !== each.attemptId) {
                 return;
             }
@@ -309,13 +315,13 @@
         return settled;
     };
 
-    const isAgreed = ({ task, placement }: Reserved): boolean =>
+    const isStillAssigned = ({ task, placement }: Reserved): boolean =>
         task.attemptId === placement.attemptId && task.state === taskStates.starting;
 
-    const mayStartEarly = ({ task, placement }: Reserved): boolean =>
+    const mayStartBeforeCommit = ({ task, placement }: Reserved): boolean =>
         !task.job.spec.atMostOnce && placement.rackKey.startsWith(unitKey("rack", options.dataCentre, ""));
 
-    /** Commits reservations and starts them; where the commit is slow, what may start before it does. */
+    /** Commits reservations and then starts them; if the commit is slow, starts those that may run before it completes. */
     const commit = async (reserved: readonly Reserved[], gang: boolean): Promise<void> => {
         const intents = reserved.map(each => {
             const record: JournalRecord = { kind: "attemptIntended", taskId: each.task.taskId, ...each.placement };
@@ -324,25 +330,28 @@
         for (const { task } of reserved) {
             task.job.gangQueued = false;
         }
-        const urgent = reserved.some(({ task }) => isPressing(task.job));
+        const urgent = reserved.some(({ task }) => isUrgent(task.job));
         const durable = write(intents.map(each => each.record), urgent);
         durable.then(
-            () => startSoon(intents.filter(isAgreed).filter(each => !early.has(each.task)).map(each => each.task)),
+            () =>
+                startInBackground(
+                    intents.filter(isStillAssigned).filter(each => !startedEarly.has(each.task)).map(each => each.task),
+                ),
             error => log.write("debug", "commitFailed", { homeId, ...failureOf(error) }),
         );
-        const early = new Set<TaskEntry>();
-        const slow = sleep(clock, options.earlyStartMs).then(() => true);
-        const isSlow = await Promise.race([durable.then(() => false, () => false), slow]);
+        const startedEarly = new Set<TaskEntry>();
+        const timedOut = sleep(clock, options.earlyStartMs).then(() => true);
+        const isSlow = await Promise.race([durable.then(() => false, () => false), timedOut]);
         if (!isSlow || gang || closed || !options.mayAct()) {
             return;
         }
-        for (const each of intents.filter(mayStartEarly)) {
+        for (const each of intents.filter(mayStartBeforeCommit)) {
             state.apply(each.record);
-            appliedEarly.add(each.record);
-            early.add(each.task);
+            appliedBeforeCommit.add(each.record);
+            startedEarly.add(each.task);
         }
-        meter.count("earlyStarts", early.size);
-        startSoon([...early].filter(task => task.state === taskStates.starting));
+        meter.count("earlyStarts", startedEarly.size);
+        startInBackground([...startedEarly].filter(task => task.state === taskStates.starting));
     };
 
     const recountTeamUse = (): void => {
@@ -380,45 +389,45 @@
         starvationMs: options.starvationMs,
     });
 
-    const pump = async (): Promise<void> => {
+    const placeQueued = async (): Promise<void> => {
         if (closed || !recovered || queue.size() === 0) {
             return;
         }
         recountTeamUse();
         if (await placer.round() > 0) {
-            pumpLoop.wake();
+            placementLoop.wake();
         }
     };
 
-    /** Attempts that an earlier holder started without a committed intent. */
-    const adoptFound = async (found: readonly HomeAttempt[]): Promise<void> => {
+    /** Journals attempts that an earlier holder started before their intent was committed. */
+    const adoptAttempts = async (found: readonly HomeAttempt[]): Promise<void> => {
         const records: JournalRecord[] = [];
-        for (const { state: said, ...parts } of found) {
-            const { attemptId, taskId } = parts;
+        for (const { state: reported, ...attempt } of found) {
+            const { attemptId, taskId } = attempt;
             const task = state.task(taskId);
-            const isOpen = task?.state === taskStates.queued && !task.abandonedIds.includes(attemptId);
-            if (isOpen && said !== "absent" && said !== "notStarted") {
-                records.push({ kind: "attemptIntended", ...parts });
-                startSent.add(attemptId);
+            const isWaiting = task?.state === taskStates.queued && !task.abandonedIds.includes(attemptId);
+            if (isWaiting && reported !== "absent" && reported !== "notStarted") {
+                records.push({ kind: "attemptIntended", ...attempt });
+                possiblyStarted.add(attemptId);
             }
         }
         await write(records);
     };
 
-    const recoverOnce = createHomeRecovery({
+    const tryRecovery = createHomeRecovery({
         homeId,
         homeVersion,
         dataCentre: options.dataCentre,
         membership,
         call: options.call,
-        adopt: adoptFound,
+        adopt: adoptAttempts,
     });
 
     const recover = async (): Promise<void> => {
         while (!recovered && !closed) {
-            recovered = await recoverOnce().catch(() => false);
+            recovered = await tryRecovery().catch(() => false);
             if (!recovered) {
-                await sleep(clock, recoverRetryMs);
+                await sleep(clock, recoveryRetryMs);
             }
         }
         if (closed) {
@@ -428,10 +437,11 @@
         for (const job of state.jobs()) {
             enqueueJob(job);
         }
-        pumpLoop.wake();
+        placementLoop.wake();
     };
 
-    const settleLost = async (): Promise<void> => {
+    /** Settles attempts that no rack owner can report: the worker is gone from the VM list and its rack has no owner. */
+    const settleLostAttempts = async (): Promise<void> => {
         const reports: AttemptReport[] = [];
         for (const { workerId, rackKey, attemptId, taskId, listedGeneration } of state.active()) {
             const ownerless = rackKey !== undefined && membership.ownerOf(rackKey) === undefined;
@@ -442,42 +452,42 @@
         await report(reports);
     };
 
-    /** Asks the present owners about every attempt that they have not yet answered for. */
+    /** Queries the present rack owners about every attempt that they have not confirmed yet. */
     const reconcile = async (): Promise<void> => {
         const unconfirmed = [...state.active()].filter(task =>
             task.settling === undefined && task.rackKey !== undefined
             && (task.confirmedBy === undefined || owners.tenureOf(task.rackKey) !== task.confirmedBy)
         );
         await owners.call("attemptStates", unconfirmed, async (tasks, answer, tenures) => {
-            await takeStates(tasks, answer, tenures);
+            await applyStates(tasks, answer, tenures);
             await start(tasks.filter(task => answer.states[task.attemptId ?? ""] === "reserved"));
         });
         await stop([...state.active()].filter(isCancelled));
-        await settleLost();
+        await settleLostAttempts();
     };
 
-    /** Runs from a timer, when everything committed so far has been applied. */
+    /** Saves a snapshot when one is due. It runs from a timer callback, when every committed record has been applied to the state. */
     const maintain = async (): Promise<void> => {
         const nextSequence = journal.nextSequence();
-        if (closed || nextSequence - snapshotAt < options.snapshotBatches) {
+        if (closed || nextSequence - snapshotSequence < options.snapshotBatches) {
             return;
         }
-        const forgotten = state.forgetEnded(clock.nowMs() - options.retentionMs);
+        const dropped = state.dropEndedJobs(clock.nowMs() - options.retentionMs);
         if (await options.saveSnapshot({ snapshot: state.snapshot(), nextSequence })) {
-            snapshotAt = nextSequence;
+            snapshotSequence = nextSequence;
             meter.count("snapshots");
-            await options.forgetJobs(forgotten);
+            await options.deleteJobRows(dropped);
         }
     };
 
-    const loopOf = (name: string, intervalMs: number, run: () => Promise<void>) =>
+    const startHomeLoop = (name: string, intervalMs: number, run: () => Promise<void>) =>
         startLoop({ clock, log, name: `${name} ${homeId}`, intervalMs, run });
-    const pumpLoop = loopOf("pump", options.pumpIntervalMs, pump);
-    const reconcileLoop = loopOf("reconcile", options.reconcileIntervalMs, reconcile);
-    const maintainLoop = loopOf("maintain", options.maintainIntervalMs, maintain);
+    const placementLoop = startHomeLoop("pump", options.pumpIntervalMs, placeQueued);
+    const reconcileLoop = startHomeLoop("reconcile", options.reconcileIntervalMs, reconcile);
+    const maintainLoop = startHomeLoop("maintain", options.maintainIntervalMs, maintain);
 
     for (const task of state.active()) {
-        startSent.add(task.attemptId ?? "");
+        possiblyStarted.add(task.attemptId ?? "");
     }
     if (!recovered) {
         void recover();
@@ -485,15 +495,15 @@
 
     const submit = async (spec: JobSpec): Promise<Job> => {
         const record: JournalRecord = { kind: "jobAccepted", spec, acceptedAtMs: clock.nowMs() };
-        const urgent = options.classOf(spec.workloadClass).priority >= pressingPriority;
+        const urgent = options.classOf(spec.workloadClass).priority >= urgentCommitPriority;
         await journal.claim([record], { key: jobKey(spec.jobId), value: { homeId } }, urgent);
         state.apply(record);
-        const job = state.job(spec.jobId) ?? die("internal", `job ${spec.jobId} is not in its home`);
+        const job = state.job(spec.jobId) ?? die("internal", `job ${spec.jobId} is missing from its home`);
         acceptedTasks += spec.tasks;
         if (recovered) {
             enqueueJob(job);
         }
-        pumpLoop.wake();
+        placementLoop.wake();
         log.write("info", "jobAccepted", {
             jobId: spec.jobId,
             homeId,
@@ -503,38 +513,40 @@
         return showJob(job, homeId);
     };
 
-    const stopSoon = (tasks: readonly TaskEntry[]): void => {
+    const stopInBackground = (tasks: readonly TaskEntry[]): void => {
         stop(tasks).catch(error => log.write("debug", "stopFailed", { ...failureOf(error) }));
     };
 
-    /** An earlier holder may have started tasks that this one takes for waiting. */
-    const refuseUntilRecovered = (): void => {
+    /** Before recovery ends, a task that is queued here may have been started by an earlier holder. */
+    const requireRecovered = (): void => {
         if (!recovered) {
-            die("unavailable", `home ${homeId} still asks what runs of it`, { retryAfterMs: recoverRetryMs });
+            die("unavailable", `home ${homeId} is still recovering its running attempts`, {
+                retryAfterMs: recoveryRetryMs,
+            });
         }
     };
 
     const cancel = async (jobId: string): Promise<Job> => {
-        refuseUntilRecovered();
+        requireRecovered();
         const job = state.job(jobId) ?? die("notFound", `home ${homeId} has no job ${jobId}`);
         if (!job.cancelled && !showJob(job, homeId).ended) {
             await write([{ kind: "jobCancelled", jobId, cancelledAtMs: clock.nowMs() }]);
-            stopSoon(job.tasks.filter(task => !isFinal(task.state)));
+            stopInBackground(job.tasks.filter(task => !isFinal(task.state)));
         }
         return showJob(job, homeId);
     };
 
     const cancelTask = async (taskId: string): Promise<Task> => {
-        refuseUntilRecovered();
+        requireRecovered();
         const task = state.task(taskId) ?? die("notFound", `home ${homeId} has no task ${taskId}`);
         if (!isCancelled(task) && !isFinal(task.state)) {
             await write([{ kind: "taskCancelled", taskId, cancelledAtMs: clock.nowMs() }]);
-            stopSoon([task]);
+            stopInBackground([task]);
         }
         return showTask(task);
     };
 
-    const fullTask = async (taskId: string): Promise<Task | undefined> => {
+    const taskWithResult = async (taskId: string): Promise<Task | undefined> => {
         const entry = state.task(taskId);
         if (entry === undefined) {
             return undefined;
@@ -565,7 +577,7 @@
             const job = state.job(jobId) ?? die("notFound", `home ${homeId} has no job ${jobId}`);
             return job.tasks.slice(afterIndex + 1, afterIndex + 1 + limit).map(showTask);
         },
-        task: fullTask,
+        task: taskWithResult,
         queuedTasks: () => queue.size(),
         activeTasks: () => [...state.active()].length,
         acceptedTasks: () => acceptedTasks,
@@ -573,7 +585,7 @@
         teamUse: () => teamUse,
         close: async () => {
             closed = true;
-            await Promise.all([pumpLoop.stop(), reconcileLoop.stop(), maintainLoop.stop()]);
+            await Promise.all([placementLoop.stop(), reconcileLoop.stop(), maintainLoop.stop()]);
             if (options.mayAct()) {
                 await Promise.race([journal.flush(), sleep(clock, options.closeTimeoutMs)]);
             }
@@ -583,7 +595,7 @@
 };
 
 /**
- * Names the directory row that says which home holds a job.
+ * Returns the key of the directory row that names the home of a job.
  *
  * @example
  * jobKey("load-in-7"); // "job/load-in-7"
--- a/packages/puffinarch/src/core/homeRecovery.ts
+++ b/packages/puffinarch/src/core/homeRecovery.ts
@@ -1,6 +1,6 @@
 /**
- * What a new holder of a home does before it places anything: it asks the owners of all racks of the home's data centre
- * what they run of the home, which also shuts the former holder out there.
+ * Recovery of a home by a new holder, before it places any task: it queries the owners of all racks of the home's data
+ * centre for the home's attempts. From then on, these owners refuse requests of earlier holders.
  */
 
 import { unitKey } from "../types/ownership.js";
@@ -8,20 +8,20 @@
 import { vmRoles } from "../types/ports.js";
 import type { Membership } from "./membership.js";
 
-/** What a recovery needs. */
+/** Options of `createHomeRecovery`. */
 export interface HomeRecoveryOptions {
     readonly homeId: string;
     readonly homeVersion: number;
     readonly dataCentre: string;
     readonly membership: Membership;
     readonly call: CallSession;
-    /** Takes up what was found; resolves once it is durable. */
+    /** Adds the attempts found to the home's state; resolves once they are durable. */
     readonly adopt: (found: readonly HomeAttempt[]) => Promise<void>;
 }
 
 /**
- * Makes one try at recovering; it answers true once every rack of the data centre has an owner and all of its workers
- * have answered that owner.
+ * Returns a function that tries the recovery once. It resolves to true when every rack of the data centre has an owner
+ * and all workers of the rack have answered that owner; to false when the recovery must be tried again.
  *
  * @example
  * const recovered = await tryRecovery();
--- a/packages/puffinarch/src/core/homeState.ts
+++ b/packages/puffinarch/src/core/homeState.ts
@@ -1,4 +1,4 @@
-/** State of a home's jobs, as a reducer over journal records; replay and live writing share it. */
+/** State of a home's jobs: a reducer over journal records, used for replay and for new records alike. */
 
 import {
     isFinal,
@@ -20,7 +20,7 @@
     TaskEndedRecord,
 } from "../types/records.js";
 
-/** The one place where a task's fields change. */
+/** Mutable state of one task inside a home. */
 export interface TaskEntry {
     readonly taskId: string;
     readonly job: JobEntry;
@@ -30,27 +30,27 @@
     attemptId: string | undefined;
     workerId: string | undefined;
     rackKey: string | undefined;
-    /** Latest attempts that were given up; none of them is ever taken up again. */
+    /** Ids of the latest abandoned attempts; recovery does not adopt them again. */
     abandonedIds: readonly string[];
     /** Generation of the VM list in which the attempt's worker was seen. */
     listedGeneration: number;
     detail: string;
     mayHaveStarted: boolean;
     cancelled: boolean;
-    /** Progress that the next attempt goes on from. */
+    /** Saved progress that the next attempt resumes from; empty for none. */
     checkpoint: string;
     result: string | undefined;
     resultKey: string | undefined;
     queuedAtMs: number;
     startedAtMs: number | undefined;
     endedAtMs: number | undefined;
-    /** Owner and tenure of the rack when it last answered for this attempt; not journaled. */
+    /** Session that owned the rack and version of the rack's row when the attempt was last confirmed; not journaled. */
     confirmedBy: string | undefined;
     /** Workers on which an attempt failed; not journaled. */
     readonly failedOn: Set<string>;
     /** Attempts that failed; not journaled. */
     failures: number;
-    /** A report is being made durable; not journaled. */
+    /** Pending commit of the attempt's report; not journaled. */
     settling: Promise<void> | undefined;
 }
 
@@ -61,13 +61,13 @@
     readonly tasks: TaskEntry[];
     readonly counts: Map<TaskState, number>;
     cancelled: boolean;
-    /** The gang waits in the queue; not journaled. */
+    /** True while the gang is in the queue; not journaled. */
     gangQueued: boolean;
 }
 
 const abandonedIdsKept = 16;
 
-/** What of a task outlasts its process; the fields of `TaskEntry` of the same names. */
+/** Fields of `TaskEntry` that a snapshot stores. */
 export type TaskSnapshot = Pick<
     TaskEntry,
     | "state"
@@ -88,7 +88,7 @@
     | "endedAtMs"
 >;
 
-/** What of a job outlasts its process. */
+/** Fields of a job that a snapshot stores. */
 export interface JobSnapshot {
     readonly spec: JobSpec;
     readonly acceptedAtMs: number;
@@ -126,7 +126,7 @@
 });
 
 /**
- * Tells whether a task or its whole job was cancelled.
+ * Returns whether a task or its whole job was cancelled.
  *
  * @example
  * if (isCancelled(task)) { await stop([task]); }
@@ -144,14 +144,14 @@
     /** Tasks that hold an attempt. */
     active(): IterableIterator<TaskEntry>;
     snapshot(): HomeSnapshot;
-    /** Takes over a snapshot; before any record is applied. */
+    /** Restores a snapshot; it must be called before any record is applied. */
     load(snapshot: HomeSnapshot): void;
-    /** Drops jobs whose last task ended before then (wall clock); answers their ids. */
-    forgetEnded(beforeMs: number): readonly string[];
+    /** Drops jobs whose last task ended before `beforeMs` (wall clock); returns their ids. */
+    dropEndedJobs(beforeMs: number): readonly string[];
 }
 
 /**
- * Makes the state of a home without jobs.
+ * Creates the state of a home without jobs.
  *
  * @example
  * const state = createHomeState();
@@ -258,7 +258,7 @@
         setState(task, record.state);
     };
 
-    const endWaiting = (task: TaskEntry, cancelledAtMs: number): void => {
+    const cancelIfQueued = (task: TaskEntry, cancelledAtMs: number): void => {
         if (task.state === taskStates.queued) {
             task.endedAtMs = cancelledAtMs;
             task.detail = "cancelled while waiting";
@@ -270,7 +270,7 @@
         const task = findTask(taskId);
         if (task !== undefined) {
             task.cancelled = true;
-            endWaiting(task, cancelledAtMs);
+            cancelIfQueued(task, cancelledAtMs);
         }
     };
 
@@ -281,7 +281,7 @@
         }
         job.cancelled = true;
         for (const task of job.tasks) {
-            endWaiting(task, cancelledAtMs);
+            cancelIfQueued(task, cancelledAtMs);
         }
     };
 
@@ -314,16 +314,16 @@
         }
     };
 
-    const forgetEnded = (beforeMs: number): readonly string[] => {
-        const forgotten: string[] = [];
+    const dropEndedJobs = (beforeMs: number): readonly string[] => {
+        const dropped: string[] = [];
         for (const [jobId, job] of jobs) {
-            const open = job.tasks.some(task => !isFinal(task.state) || (task.endedAtMs ?? 0) >= beforeMs);
-            if (!open) {
+            const retained = job.tasks.some(task => !isFinal(task.state) || (task.endedAtMs ?? 0) >= beforeMs);
+            if (!retained) {
                 jobs.delete(jobId);
-                forgotten.push(jobId);
+                dropped.push(jobId);
             }
         }
-        return forgotten;
+        return dropped;
     };
 
     const apply = (record: JournalRecord): void => {
@@ -339,12 +339,12 @@
         active: () => active.values(),
         snapshot: () => [...jobs.values()].map(snapshotOf),
         load,
-        forgetEnded,
+        dropEndedJobs,
     };
 };
 
 /**
- * Shows a job to callers.
+ * Converts a job's entry to the form that callers get.
  *
  * @example
  * const job = showJob(entry, "home-1");
@@ -369,7 +369,7 @@
 };
 
 /**
- * Shows a task to callers.
+ * Converts a task's entry to the form that callers get; a result in the object store is left out.
  *
  * @example
  * const task = showTask(entry);
--- a/packages/puffinarch/src/core/homes.ts
+++ b/packages/puffinarch/src/core/homes.ts
@@ -1,4 +1,4 @@
-/** The homes that a daemon holds: its own, and those of dead daemons that it took over. */
+/** The homes that a daemon holds: its own and those that it took over from dead daemons. */
 
 import { unitKey } from "../types/ownership.js";
 import type { Clock, Log, Meter, ObjectStore, TableStore } from "../types/ports.js";
@@ -11,24 +11,24 @@
 import type { UnitKeeper } from "./ownership.js";
 import { forgetRows, loadSnapshot, saveSnapshot } from "./snapshots.js";
 
-/** The homes held here, by id. */
+/** The homes that this daemon holds. */
 export interface Homes {
     readonly keeper: UnitKeeper;
     /** The home that accepts new jobs; undefined until the session owns it. */
     own(): Home | undefined;
     held(): readonly Home[];
     find(homeId: string): Home | undefined;
-    /** The home held here that holds this job. */
+    /** The home of this daemon that contains the job. */
     withJob(jobId: string): Home | undefined;
 }
 
 /** Options that are the same for all homes of a daemon. */
 export type SharedHomeOptions = Omit<
     HomeOptions,
-    "homeId" | "homeVersion" | "dataCentre" | "journal" | "state" | "saveSnapshot" | "forgetJobs"
+    "homeId" | "homeVersion" | "dataCentre" | "journal" | "state" | "saveSnapshot" | "deleteJobRows"
 >;
 
-/** What homes need. */
+/** Options of `createHomes`. */
 export interface HomesOptions {
     readonly table: TableStore;
     readonly clock: Clock;
@@ -36,10 +36,12 @@
     readonly meter: Meter;
     readonly membership: Membership;
     readonly sessionId: () => string;
+    /** Whether the daemon's session is open. */
     readonly isOpen: () => boolean;
     readonly batchesPerSecond: () => number;
     readonly urgentBatchesPerSecond: () => number;
     readonly maxPendingEntries: number;
+    /** Called with the home's unit key when a journal write shows that the home has another holder. */
     readonly onFenced: (unitKey: string) => void;
     readonly objects: ObjectStore;
     readonly homeOptions: () => SharedHomeOptions;
@@ -48,7 +50,7 @@
 const retryMs = 200;
 
 /**
- * Makes the homes of a daemon that holds none yet.
+ * Creates the homes of a daemon that holds none yet.
  *
  * @example
  * const homes = createHomes(options);
@@ -57,15 +59,16 @@
 export const createHomes = (options: HomesOptions): Homes => {
     const { table, objects, clock, log, meter } = options;
     const homes = new Map<string, Home>();
-    const wanted = new Map<string, Promise<void>>();
-    let batches = 0;
+    /** Homes that the session owns, with the promise of their opening; without an entry, `openHome` stops its retries. */
+    const openings = new Map<string, Promise<void>>();
+    let batchCount = 0;
 
     const newBatchId = (): string => {
-        batches += 1;
-        return `${options.sessionId()}.${batches}`;
+        batchCount += 1;
+        return `${options.sessionId()}.${batchCount}`;
     };
 
-    const openOnce = async (unit: OwnedUnit): Promise<void> => {
+    const tryOpen = async (unit: OwnedUnit): Promise<void> => {
         const loaded = await loadSnapshot(table, objects, unit.name);
         const { records, nextSequence, staleKeys } = await replay(table, unit.name, loaded.nextSequence);
         const state = createHomeState();
@@ -97,7 +100,7 @@
             journal,
             state,
             saveSnapshot: snapshot => saveSnapshot(snapshotOptions, snapshot),
-            forgetJobs: jobIds => forgetRows(snapshotOptions, jobIds.map(jobKey)),
+            deleteJobRows: jobIds => forgetRows(snapshotOptions, jobIds.map(jobKey)),
         });
         homes.set(unit.name, home);
         await forgetRows(snapshotOptions, staleKeys);
@@ -105,9 +108,9 @@
     };
 
     const openHome = async (unit: OwnedUnit): Promise<void> => {
-        while (wanted.has(unit.name)) {
+        while (openings.has(unit.name)) {
             try {
-                await openOnce(unit);
+                await tryOpen(unit);
                 return;
             }
             catch (error) {
@@ -118,13 +121,13 @@
     };
 
     const gain = async (unit: OwnedUnit): Promise<void> => {
-        wanted.set(unit.name, Promise.resolve());
-        wanted.set(unit.name, openHome(unit));
+        openings.set(unit.name, Promise.resolve());
+        openings.set(unit.name, openHome(unit));
     };
 
     const yieldHome = async (unit: OwnedUnit): Promise<void> => {
-        const opening = wanted.get(unit.name);
-        wanted.delete(unit.name);
+        const opening = openings.get(unit.name);
+        openings.delete(unit.name);
         await opening;
         const home = homes.get(unit.name);
         homes.delete(unit.name);
@@ -141,7 +144,7 @@
 };
 
 /**
- * Finds the session that holds a home now; fails with `unavailable` while nobody is known to.
+ * Returns the id of the session that holds a home; fails with `unavailable` while no holder is known.
  *
  * @example
  * const holder = holderOf(membership, "vm-1~1");
@@ -149,11 +152,11 @@
 export const holderOf = (membership: Membership, homeId: string): string => {
     const unit = membership.units().find(each => each.kind === "home" && each.name === homeId);
     const owner = unit === undefined ? undefined : membership.ownerOf(unit.key);
-    return owner?.sessionId ?? die("unavailable", `home ${homeId} has no holder at present`, { retryAfterMs: 1_000 });
+    return owner?.sessionId ?? die("unavailable", `home ${homeId} has no known holder`, { retryAfterMs: 1_000 });
 };
 
 /**
- * Names the unit of a session's own home.
+ * Returns the unit key of a session's own home.
  *
  * @example
  * homeKey("leon-feria", "vm-1~1"); // "unit/home/leon-feria/vm-1~1"
