--- a/packages/puffinarch/src/core/journal.ts
+++ b/packages/puffinarch/src/core/journal.ts
@@ -1,7 +1,8 @@
 /**
- * The journal of a home: batches of records, one transaction each, one in flight while the next gathers (group
- * commit). Every batch is conditional on the home's ownership row, so a holder that was replaced writes nothing.
- * An unknown outcome is resolved by reading the batch id back, never by guessing.
+ * The journal of a home, with group commit: records are collected into a batch while the previous batch is in flight,
+ * and each batch is one transaction. Every batch is conditional on the home's ownership row, so a replaced holder cannot
+ * write. A batch whose outcome is unknown is sent again; if it then conflicts, the batch id in its row shows whether the
+ * first send was committed.
  */
 
 import type { Clock, Log, Meter, RowCondition, TableRow, TableStore, Transaction } from "../types/ports.js";
@@ -10,7 +11,7 @@
 import { errorOf, type Failure } from "../utils/errors.js";
 import { sleep } from "../utils/time.js";
 
-/** A row that must not exist yet and is written with the batch, such as the directory entry of a job. */
+/** A row that must not exist yet and is written together with the batch, such as the directory row of a job. */
 export interface RowClaim {
     readonly key: string;
     readonly value: unknown;
@@ -19,25 +20,25 @@
 /** A home's durable log. */
 export interface Journal {
     /**
-     * Resolves once the records are durable. Retries through outages; rejects only when the journal is fenced. Urgent
-     * records do not wait for the steady allowance of writes.
+     * Resolves once the records are durable. Retries through outages; rejects only when the journal is fenced or closed.
+     * Urgent records may also use the additional urgent rate.
      */
     append(records: readonly JournalRecord[], urgent: boolean): Promise<void>;
     /**
-     * Like `append`, with a row to claim. Rejects with `alreadyExists` where the row is taken, and with
-     * `notAccepted` where the table surely refused; nothing was written then.
+     * Like `append`, with a row to claim. Rejects with `alreadyExists` if the row exists, with `notAccepted` if the table
+     * refused the batch, and with `overloaded` if too many entries are pending; in all three cases nothing was written.
      */
     claim(records: readonly JournalRecord[], row: RowClaim, urgent: boolean): Promise<void>;
-    /** Batches that hold everything up to now are committed when this resolves. */
+    /** Resolves once no entry is pending or in flight. */
     flush(): Promise<void>;
-    /** Sequence number of the next batch; every record that was applied stands before it. */
+    /** Sequence number of the next batch; all committed records are in earlier batches. */
     nextSequence(): number;
-    /** Stops writing; pending entries are rejected with `unavailable`. */
+    /** Stops writing; rejects entries with `unavailable`, or with `mayHaveRun` if their batch may have been committed. */
     close(): void;
     pendingEntries(): number;
 }
 
-/** What a journal needs. */
+/** Options of `createJournal`. */
 export interface JournalOptions {
     readonly table: TableStore;
     readonly clock: Clock;
@@ -49,12 +50,13 @@
     /** The ownership row that every batch is conditional on. */
     readonly fence: RowCondition;
     readonly newBatchId: () => string;
+    /** Called when a conflict shows that another session holds the home. */
     readonly onFenced: () => void;
-    /** Steady allowance of batches; as many may come at once after a rest. */
+    /** Steady rate of batches; after idle time, a burst of up to one second's batches is allowed. */
     readonly batchesPerSecond: () => number;
-    /** Further allowance while something urgent or a full batch waits. */
+    /** Additional rate while an urgent entry or a full batch is pending. */
     readonly urgentBatchesPerSecond: () => number;
-    /** Entries that may wait before claims are refused as overloaded. */
+    /** Pending entries from which on claims are refused as `overloaded`. */
     readonly maxPendingEntries: number;
 }
 
@@ -72,15 +74,17 @@
     readonly records: readonly JournalRecord[];
 }
 
+/** Keeps the row of a batch of several entries below the table's limit of 64 KiB. */
 const maxBatchBytes = 48 * 1024;
+/** A transaction takes at most 25 rows; the ownership row and the row of the batch are two of them. */
 const maxClaimsPerBatch = 23;
 const sequenceDigits = 10;
-const unknownFailure: Failure = { kind: "mayHaveRun", message: "it is not known whether the batch was committed" };
+const unknownOutcome: Failure = { kind: "mayHaveRun", message: "it is not known whether the batch was committed" };
 const firstRetryMs = 20;
 const maxRetryMs = 1_000;
 
 /**
- * Names the row of a batch; rows sort in sequence order.
+ * Returns the key of a batch's row; keys sort in sequence order.
  *
  * @example
  * journalKey("home-1", 7); // "journal/home-1/0000000007"
@@ -88,17 +92,17 @@
 export const journalKey = (journalId: string, sequence: number): string =>
     `journal/${journalId}/${String(sequence).padStart(sequenceDigits, "0")}`;
 
-/** A journal as it was read. */
+/** Content of a journal. */
 export interface Replayed {
     readonly records: readonly JournalRecord[];
     /** Sequence number of the next batch. */
     readonly nextSequence: number;
-    /** Rows that a snapshot holds already and that were not deleted yet. */
+    /** Keys of batches that a snapshot already contains and whose rows were not deleted yet. */
     readonly staleKeys: readonly string[];
 }
 
 /**
- * Reads a journal from a sequence number on: its records in order.
+ * Reads the records of a journal in order, from the batch with the sequence number `fromSequence` on.
  *
  * @example
  * const { records, nextSequence } = await replay(table, "home-1", 0);
@@ -132,25 +136,27 @@
     const pending: Entry[] = [];
     let sequence = options.nextSequence;
     let flushing: Promise<void> | undefined;
-    let closed: Failure | undefined;
-    const steady = createBucket(clock, options.batchesPerSecond);
-    const urgent = createBucket(clock, options.urgentBatchesPerSecond);
+    let closeFailure: Failure | undefined;
+    const steadyBucket = createBucket(clock, options.batchesPerSecond);
+    const urgentBucket = createBucket(clock, options.urgentBatchesPerSecond);
     let urgentPending = 0;
     let pendingBytes = 0;
     let pendingClaims = 0;
     let wake = (): void => {};
 
-    /** A batch that is full gains nothing by waiting. */
-    const mayHurry = (): boolean =>
+    /** Urgent entries and full batches may use the urgent rate: a full batch collects no more entries by waiting. */
+    const mayUseUrgentBucket = (): boolean =>
         urgentPending > 0 || pendingBytes >= maxBatchBytes || pendingClaims >= maxClaimsPerBatch;
 
-    /** Waits for leave to write: from the steady allowance, or from the further one where waiting gains nothing. */
-    const takeTurn = async (): Promise<void> => {
+    /** Waits for a token of the steady bucket or, where allowed, of the urgent one. */
+    const takeWriteToken = async (): Promise<void> => {
         for (;;) {
-            if (steady.take() || (mayHurry() && urgent.take())) {
+            if (steadyBucket.take() || (mayUseUrgentBucket() && urgentBucket.take())) {
                 return;
             }
-            const waitMs = mayHurry() ? Math.min(steady.waitMs(), urgent.waitMs()) : steady.waitMs();
+            const waitMs = mayUseUrgentBucket()
+                ? Math.min(steadyBucket.waitMs(), urgentBucket.waitMs())
+                : steadyBucket.waitMs();
             const woken = new Promise<void>(resolve => {
                 wake = resolve;
             });
@@ -163,9 +169,9 @@
         let sizeBytes = 0;
         let claims = 0;
         for (const entry of pending) {
-            const full = sizeBytes + entry.sizeBytes > maxBatchBytes
+            const isFull = sizeBytes + entry.sizeBytes > maxBatchBytes
                 || (entry.row !== undefined && claims === maxClaimsPerBatch);
-            if (batch.length > 0 && full) {
+            if (batch.length > 0 && isFull) {
                 break;
             }
             batch.push(entry);
@@ -194,21 +200,21 @@
         };
     };
 
-    const fail = (failure: Failure, entries: readonly Entry[]): void => {
+    const rejectEntries = (failure: Failure, entries: readonly Entry[]): void => {
         for (const entry of entries) {
             entry.reject(errorOf(failure));
         }
     };
 
     const closeWith = (failure: Failure): void => {
-        closed = failure;
+        closeFailure = failure;
         urgentPending = 0;
         pendingBytes = 0;
         pendingClaims = 0;
-        fail(failure, pending.splice(0));
+        rejectEntries(failure, pending.splice(0));
     };
 
-    const readUntilAnswered = async (keys: readonly string[]): Promise<ReadonlyMap<string, TableRow>> => {
+    const readWithRetries = async (keys: readonly string[]): Promise<ReadonlyMap<string, TableRow>> => {
         for (let retryMs = firstRetryMs;; retryMs = Math.min(maxRetryMs, retryMs * 2)) {
             try {
                 const rows = await table.read(keys);
@@ -217,58 +223,61 @@
             catch {
                 await sleep(clock, retryMs);
             }
-            if (closed !== undefined) {
+            if (closeFailure !== undefined) {
                 return new Map();
             }
         }
     };
 
-    const holds = (row: TableRow | undefined, batchId: string): boolean =>
+    const holdsBatch = (row: TableRow | undefined, batchId: string): boolean =>
         row !== undefined && (row.value as BatchValue).batchId === batchId;
 
-    /** Finds out why a batch met a conflict; what it names as taken is rejected, the rest is returned to be retried. */
+    /**
+     * Reads the rows of a batch that met a conflict. Rejects entries whose claimed row exists and returns the others for a
+     * retry, or returns `committed` if an earlier send of the batch was committed. Closes the journal if it is fenced.
+     */
     const settleConflict = async (
         batch: readonly Entry[],
         batchId: string,
     ): Promise<readonly Entry[] | "committed"> => {
         const key = journalKey(journalId, sequence);
         const claimed = batch.flatMap(entry => entry.row === undefined ? [] : [entry.row.key]);
-        const rows = await readUntilAnswered([key, fence.key, ...claimed]);
-        if (closed !== undefined) {
-            fail(closed, batch);
+        const rows = await readWithRetries([key, fence.key, ...claimed]);
+        if (closeFailure !== undefined) {
+            rejectEntries(closeFailure, batch);
             return [];
         }
-        if (holds(rows.get(key), batchId)) {
+        if (holdsBatch(rows.get(key), batchId)) {
             return "committed";
         }
         if (rows.has(key) || rows.get(fence.key)?.version !== fence.version) {
             const failure: Failure = { kind: "unavailable", message: `journal ${journalId} has another holder` };
             closeWith(failure);
-            fail(failure, batch);
+            rejectEntries(failure, batch);
             options.onFenced();
             return [];
         }
         const taken = batch.filter(entry => entry.row !== undefined && rows.has(entry.row.key));
-        fail({ kind: "alreadyExists", message: "the row is taken" }, taken);
+        rejectEntries({ kind: "alreadyExists", message: "the claimed row already exists" }, taken);
         return batch.filter(entry => !taken.includes(entry));
     };
 
-    const commit = async (whole: readonly Entry[]): Promise<void> => {
+    const commit = async (entries: readonly Entry[]): Promise<void> => {
         const batchId = options.newBatchId();
         const startedAtMs = clock.monotonicMs();
-        let batch = whole;
+        let batch = entries;
         let mayHaveCommitted = false;
         let retryMs = firstRetryMs;
         while (batch.length > 0) {
-            if (closed !== undefined) {
-                fail(mayHaveCommitted ? unknownFailure : closed, batch);
+            if (closeFailure !== undefined) {
+                rejectEntries(mayHaveCommitted ? unknownOutcome : closeFailure, batch);
                 return;
             }
             const { outcome } = await table.transact(transactionOf(batch, batchId));
             if (outcome === "conflict") {
-                const rest = await settleConflict(batch, batchId);
-                if (rest !== "committed") {
-                    batch = rest;
+                const remaining = await settleConflict(batch, batchId);
+                if (remaining !== "committed") {
+                    batch = remaining;
                     continue;
                 }
             }
@@ -284,8 +293,8 @@
             mayHaveCommitted ||= outcome === "unknown";
             if (!mayHaveCommitted) {
                 const claims = batch.filter(entry => entry.row !== undefined);
-                fail(
-                    { kind: "notAccepted", message: "the platform's table is out of reach", retryAfterMs: maxRetryMs },
+                rejectEntries(
+                    { kind: "notAccepted", message: "the platform's table is unreachable", retryAfterMs: maxRetryMs },
                     claims,
                 );
                 batch = batch.filter(entry => entry.row === undefined);
@@ -296,10 +305,11 @@
         }
     };
 
-    const run = async (): Promise<void> => {
+    const writePending = async (): Promise<void> => {
+        // Lets all appends of the current tick share the first batch.
         await Promise.resolve();
         while (pending.length > 0) {
-            await takeTurn();
+            await takeWriteToken();
             await commit(takeBatch());
         }
         flushing = undefined;
@@ -307,12 +317,18 @@
 
     const enqueue = (records: readonly JournalRecord[], row: RowClaim | undefined, isUrgent: boolean): Promise<void> =>
         new Promise((resolve, reject) => {
-            if (closed !== undefined) {
-                reject(errorOf(closed));
+            if (closeFailure !== undefined) {
+                reject(errorOf(closeFailure));
                 return;
             }
             if (row !== undefined && pending.length >= options.maxPendingEntries) {
-                reject(errorOf({ kind: "overloaded", message: "too many writes wait", retryAfterMs: maxRetryMs }));
+                reject(
+                    errorOf({
+                        kind: "overloaded",
+                        message: "too many journal entries are pending",
+                        retryAfterMs: maxRetryMs,
+                    }),
+                );
                 return;
             }
             const sizeBytes = JSON.stringify(records).length;
@@ -320,10 +336,10 @@
             urgentPending += isUrgent ? 1 : 0;
             pendingClaims += row === undefined ? 0 : 1;
             pendingBytes += sizeBytes;
-            if (mayHurry()) {
+            if (mayUseUrgentBucket()) {
                 wake();
             }
-            flushing ??= run();
+            flushing ??= writePending();
         });
 
     return {
--- a/packages/puffinarch/src/core/snapshots.ts
+++ b/packages/puffinarch/src/core/snapshots.ts
@@ -1,6 +1,6 @@
 /**
- * Snapshots of homes in the object store, so that journals stay short: the state goes to an object, a row names it and
- * the first batch after it, and the batches before that are deleted.
+ * Snapshots of homes, which keep journals short. The state is written to an object; a table row names the object and the
+ * first batch that it does not contain, and the batches before that one are deleted.
  */
 
 import type { ObjectStore, RowCondition, TableStore } from "../types/ports.js";
@@ -13,17 +13,18 @@
     readonly nextSequence: number;
 }
 
-/** A home's state and the first batch that it does not hold. */
+/** A home's state, and the sequence number of the first batch that it does not contain. */
 export interface LoadedSnapshot {
     readonly snapshot: HomeSnapshot;
     readonly nextSequence: number;
 }
 
 const snapshotKey = (homeId: string): string => `snapshot/${homeId}`;
+/** A transaction takes at most 25 rows; the ownership row is one of them. */
 const deletesPerTransaction = 24;
 
 /**
- * Loads the latest snapshot of a home; the empty one where there is none.
+ * Loads the latest snapshot of a home; returns an empty one if none was saved.
  *
  * @example
  * const { snapshot, nextSequence } = await loadSnapshot(table, objects, "vm-1~1");
@@ -38,20 +39,20 @@
         return { snapshot: [], nextSequence: 0 };
     }
     const { objectKey, nextSequence } = row.value as SnapshotRow;
-    const body = await objects.get(objectKey) ?? die("unavailable", `the snapshot ${objectKey} is not there`);
+    const body = await objects.get(objectKey) ?? die("unavailable", `the snapshot object ${objectKey} is missing`);
     return { snapshot: JSON.parse(body) as HomeSnapshot, nextSequence };
 };
 
-/** What saving a snapshot needs. */
+/** Where a snapshot is saved, and under which condition. */
 export interface SaveSnapshotOptions {
     readonly table: TableStore;
     readonly objects: ObjectStore;
     readonly homeId: string;
-    /** The ownership row; a holder that was replaced saves nothing. */
+    /** Condition on the ownership row, so that a replaced holder cannot save. */
     readonly fence: RowCondition;
 }
 
-const deleteRows = async ({ table, fence }: SaveSnapshotOptions, keys: readonly string[]): Promise<void> => {
+const deleteFencedRows = async ({ table, fence }: SaveSnapshotOptions, keys: readonly string[]): Promise<void> => {
     for (let start = 0; start < keys.length; start += deletesPerTransaction) {
         await table.transact({
             conditions: [fence],
@@ -62,8 +63,8 @@
 };
 
 /**
- * Saves a snapshot and deletes the batches that it holds. The object is written first and the row names it after, so a
- * crash between the two leaves the earlier snapshot in force. Answers false where the row did not surely commit.
+ * Saves a snapshot and deletes the batches that it contains. The object is written before the row that names it, so a
+ * crash between the two leaves the previous snapshot valid. Returns false if the row is not known to be committed.
  *
  * @example
  * await saveSnapshot(options, { snapshot: state.snapshot(), nextSequence: journal.nextSequence() });
@@ -74,7 +75,7 @@
 ): Promise<boolean> => {
     const { table, objects, homeId, fence } = options;
     const objectKey = `snapshots/${homeId}/${nextSequence}`;
-    const [before] = await table.read([snapshotKey(homeId)]);
+    const [previousRow] = await table.read([snapshotKey(homeId)]);
     await objects.put(objectKey, JSON.stringify(snapshot));
     const { outcome } = await table.transact({
         conditions: [fence],
@@ -84,22 +85,23 @@
     if (outcome !== "committed") {
         return false;
     }
-    const earlier = before?.value as SnapshotRow | undefined;
+    const previous = previousRow?.value as SnapshotRow | undefined;
     const keys: string[] = [];
-    for (let sequence = earlier?.nextSequence ?? 0; sequence < nextSequence; sequence += 1) {
+    for (let sequence = previous?.nextSequence ?? 0; sequence < nextSequence; sequence += 1) {
         keys.push(journalKey(homeId, sequence));
     }
-    await deleteRows(options, keys);
-    if (earlier !== undefined && earlier.objectKey !== objectKey) {
-        await objects.delete(earlier.objectKey);
+    await deleteFencedRows(options, keys);
+    if (previous !== undefined && previous.objectKey !== objectKey) {
+        await objects.delete(previous.objectKey);
     }
     return true;
 };
 
 /**
- * Deletes the directory rows of forgotten jobs.
+ * Deletes rows while the ownership row is unchanged, such as the directory rows of dropped jobs. Rows of a transaction that
+ * fails are left in the table, without an error.
  *
  * @example
  * await forgetRows(options, ["job/load-in-7"]);
  */
-export const forgetRows = deleteRows;
+export const forgetRows = deleteFencedRows;
