--- a/packages/puffinarch/src/core/node.ts
+++ b/packages/puffinarch/src/core/node.ts
@@ -1,4 +1,4 @@
-/** One daemon's coordination, put together from its parts; all of the outside comes in through ports. */
+/** Assembles the coordination of one daemon from its parts. All input and output goes through the given ports. */
 
 import type { Configuration } from "../types/configuration.js";
 import type { Decision } from "../types/decision.js";
@@ -34,7 +34,7 @@
 import { createSession } from "./session.js";
 import { createSlots, type Slots } from "./slots.js";
 
-/** Everything outside that a node touches. */
+/** External dependencies of a node. */
 export interface NodePorts {
     readonly table: TableStore;
     readonly objects: ObjectStore;
@@ -48,24 +48,21 @@
     readonly meter: Meter;
 }
 
-/** Answers of all live daemons, and the sessions that did not answer. */
+/** Result of a call to all live daemons: the answers, and the ids of the sessions whose call failed. */
 export interface Answers<T> {
     readonly answers: readonly T[];
     readonly unreachable: readonly string[];
 }
 
-/** A running daemon, without its network side. */
+/** The coordination of one daemon, without its network servers. */
 export interface Node {
-    /**
-     * Opens the session and starts all loops; resolves once the node owns its home. Peers reach this daemon at the
-     * address, a URL.
-     */
+    /** Opens the session and starts all loops; resolves once the node owns its home. Peers call this daemon at `address`, a URL. */
     start(address: string): Promise<void>;
-    /** Makes the node not ready, so that the balancer sends no more callers; it goes on serving. */
+    /** Makes the node not ready, so that the load balancer sends it no new callers; requests are still served. */
     announceStop(): void;
-    /** Refuses new work, hands everything over and stops. */
+    /** Refuses new work, hands over all owned units and stops all loops. */
     stop(): Promise<void>;
-    /** True while callers may be sent here. */
+    /** True while the load balancer may send callers to this daemon. */
     ready(): boolean;
     draining(): boolean;
     sessionId(): string;
@@ -76,31 +73,37 @@
     readonly claims: RequestClaims;
     readonly slots: Slots;
     readonly router: Router;
+    /** Logs a decision and keeps it for queries; only the latest decisions are kept. */
     noteDecision(decision: Decision): void;
+    /** Calls every live daemon, this one included. */
     callAll<K extends PeerCallName>(name: K, input: PeerCalls[K]["input"]): Promise<Answers<PeerCalls[K]["output"]>>;
+    /** Calls the daemon of a session; fails with `unavailable` for an unknown session. */
     call<K extends PeerCallName>(
         sessionId: string,
         name: K,
         input: PeerCalls[K]["input"],
     ): Promise<PeerCalls[K]["output"]>;
-    /** Resolves when a peer or an operator asked for a graceful shutdown. */
+    /** Resolves with the reason once a peer or an operator requests a graceful shutdown. */
     readonly drainAsked: Promise<string>;
-    /** Resources in use by teams with a quota, over all daemons heard of lately. */
+    /**
+     * Resources held by the team's active tasks, on this daemon and on all peers whose gossip is recent; counted only for
+     * teams with a quota.
+     */
     teamUse(team: string): Resources;
 }
 
 const gossipMaxAgeMs = 5_000;
-const decisionsKept = 5_000;
-/** Daemons of other data centres hear of this one in one round of this many, so many of them at a time. */
-const farGossipEvery = 8;
+const maxDecisions = 5_000;
+/** One gossip round in this many also goes to peers of other data centres, to at most `farPeersPerRound` of them. */
+const farGossipRounds = 8;
 const farPeersPerRound = 6;
-/** Gossip tells of a new configuration first; the table is asked in one refresh of this many. */
-const configurationEvery = 3;
-const startPollMs = 20;
+/** One refresh in this many reads the configuration from the table; gossip usually announces a new version earlier. */
+const configurationReadRounds = 3;
+const homePollMs = 20;
 const maxMissedReads = 3;
 const clockMarginMs = 250;
 
-const countCalls = (table: TableStore, meter: Meter): TableStore => ({
+const countTableCalls = (table: TableStore, meter: Meter): TableStore => ({
     read: keys => {
         meter.count("tableReads");
         return table.read(keys);
@@ -116,7 +119,7 @@
 });
 
 /**
- * Makes a node; nothing runs before `start`.
+ * Creates a node; nothing runs before `start`.
  *
  * @example
  * const node = createNode({ ...defaultNodeSettings, vmId: "vm-1", dataCentre: "leon-feria" }, ports);
@@ -124,14 +127,14 @@
  */
 export const createNode = (settings: NodeSettings, ports: NodePorts): Node => {
     const { clock, random, log, meter } = ports;
-    const table = countCalls(ports.table, meter);
+    const table = countTableCalls(ports.table, meter);
     const membership = createMembership({
         clock,
         ownVmId: settings.vmId,
         gossipMaxAgeMs,
         maxReadGapMs: maxMissedReads * settings.refreshIntervalMs,
     });
-    const decisions = createRing<Decision>(decisionsKept);
+    const decisions = createRing<Decision>(maxDecisions);
     const loops: Loop[] = [];
     let isDraining = false;
     let stopAnnounced = false;
@@ -139,9 +142,9 @@
     let attemptCount = 0;
     let gossipRound = 0;
     let refreshRound = 0;
-    let askDrain = (_reason: string): void => {};
+    let requestDrain = (_reason: string): void => {};
     const drainAsked = new Promise<string>(resolve => {
-        askDrain = resolve;
+        requestDrain = resolve;
     });
 
     const noteDecision = (decision: Decision): void => {
@@ -182,7 +185,7 @@
             return handlers[name](input as never) as never;
         }
         const session = membership.session(target)
-            ?? die("unavailable", `session ${target} is not known`, { retryAfterMs: 1_000 });
+            ?? die("unavailable", `unknown session ${target}`, { retryAfterMs: 1_000 });
         meter.count("peerCalls");
         return ports.peers.call(session.address, name, input);
     };
@@ -204,6 +207,7 @@
         clock,
         log,
         onAdopted: () => {
+            // The next round becomes round 0, which also goes to peers of other data centres.
             gossipRound = -1;
             gossipLoop?.wake();
         },
@@ -372,7 +376,7 @@
         teamUse: ownTeamUse(),
     });
 
-    const adoptFrom = async (target: string, version: number): Promise<void> => {
+    const adoptConfigurationFrom = async (target: string, version: number): Promise<void> => {
         if (version > configuration.inForce().version) {
             configuration.adopt(await call(target, "configuration", { version }));
         }
@@ -381,17 +385,17 @@
     const gossipWith = async (peer: SessionRow, message: Gossip): Promise<void> => {
         try {
             const sentAtMs = clock.monotonicMs();
-            const heard = await call(peer.sessionId, "gossip", message);
-            session.notePromise(peer.sessionId, sentAtMs, heard.promiseMs);
-            await adoptFrom(peer.sessionId, heard.configurationVersion);
+            const received = await call(peer.sessionId, "gossip", message);
+            session.notePromise(peer.sessionId, sentAtMs, received.promiseMs);
+            await adoptConfigurationFrom(peer.sessionId, received.configurationVersion);
         }
         catch (error) {
             log.write("debug", "gossipFailed", { peer: peer.sessionId, ...failureOf(error) });
         }
     };
 
-    /** A few at random, so that the cost of gossip does not grow with the number of data centres. */
-    const someFarPeers = (): readonly SessionRow[] => {
+    /** Picks a bounded random sample, so that the cost of gossip does not grow with the number of data centres. */
+    const sampleFarPeers = (): readonly SessionRow[] => {
         const far = membership.peers().filter(peer => peer.dataCentre !== settings.dataCentre);
         while (far.length > farPeersPerRound) {
             far.splice(Math.floor(random.next() * far.length), 1);
@@ -403,7 +407,7 @@
         const message = gossip();
         gossipRound += 1;
         const near = membership.peers().filter(peer => peer.dataCentre === settings.dataCentre);
-        const far = gossipRound % farGossipEvery === 0 ? someFarPeers() : [];
+        const far = gossipRound % farGossipRounds === 0 ? sampleFarPeers() : [];
         await Promise.all([...near, ...far].map(peer => gossipWith(peer, message)));
     };
 
@@ -441,20 +445,22 @@
         };
     };
 
-    /** A holder that may have been replaced without knowing answers nothing from its state. */
-    const refuseWithoutAuthority = (): void => {
+    /** Rejects a call that would be answered from local state while another session may have taken over this one's units. */
+    const requireAuthority = (): void => {
         if (!session.mayAct()) {
-            die("unavailable", "this daemon may have been replaced and cannot tell", { retryAfterMs: 1_000 });
+            die("unavailable", "the session of this daemon is not confirmed and may have been taken over", {
+                retryAfterMs: 1_000,
+            });
         }
     };
 
-    const heldHome = (homeId: string) => {
-        refuseWithoutAuthority();
-        return homes.find(homeId) ?? die("unavailable", `home ${homeId} is not held here`);
+    const requireHome = (homeId: string) => {
+        requireAuthority();
+        return homes.find(homeId) ?? die("unavailable", `this daemon does not hold home ${homeId}`);
     };
-    const homeWithJob = (jobId: string) => {
-        refuseWithoutAuthority();
-        return homes.withJob(jobId) ?? die("notFound", `there is no job ${jobId} here`);
+    const requireHomeOfJob = (jobId: string) => {
+        requireAuthority();
+        return homes.withJob(jobId) ?? die("notFound", `this daemon has no job ${jobId}`);
     };
 
     const handlers: PeerHandlers = {
@@ -470,26 +476,29 @@
         },
         attemptStates: async input => ({ states: rackOwner.states(input) }),
         attemptsOfHome: async input => rackOwner.attemptsOfHome(input),
-        report: async ({ homeId, reports }) => ({ settled: await heldHome(homeId).report(reports) }),
-        gossip: async heard => {
-            membership.setGossip(heard);
-            void adoptFrom(heard.sessionId, heard.configurationVersion).catch(() => undefined);
-            const promiseMs = session.isOpen() && heard.deputy === sessionId() ? deputy.promise(heard.sessionId) : 0;
+        report: async ({ homeId, reports }) => ({ settled: await requireHome(homeId).report(reports) }),
+        gossip: async received => {
+            membership.setGossip(received);
+            void adoptConfigurationFrom(received.sessionId, received.configurationVersion).catch(() => undefined);
+            const promiseMs = session.isOpen() && received.deputy === sessionId()
+                ? deputy.promise(received.sessionId)
+                : 0;
             return { configurationVersion: configuration.inForce().version, promiseMs };
         },
         configuration: async (): Promise<Configuration> => configuration.inForce(),
-        job: async ({ jobId }) => homeWithJob(jobId).job(jobId) ?? die("notFound", `there is no job ${jobId} here`),
-        cancelTask: async ({ taskId }) => homeWithJob(jobIdOf(taskId)).cancelTask(taskId),
-        cancel: async ({ jobId }) => homeWithJob(jobId).cancel(jobId),
+        job: async ({ jobId }) =>
+            requireHomeOfJob(jobId).job(jobId) ?? die("notFound", `this daemon has no job ${jobId}`),
+        cancelTask: async ({ taskId }) => requireHomeOfJob(jobIdOf(taskId)).cancelTask(taskId),
+        cancel: async ({ jobId }) => requireHomeOfJob(jobId).cancel(jobId),
         jobs: async ({ team, afterJobId, limit }) => {
-            refuseWithoutAuthority();
+            requireAuthority();
             return homes.held().flatMap(home => home.jobs(team, afterJobId, limit));
         },
         task: async ({ taskId }) => {
-            const home = homeWithJob(jobIdOf(taskId));
+            const home = requireHomeOfJob(jobIdOf(taskId));
             return await home.task(taskId) ?? die("notFound", `there is no task ${taskId}`);
         },
-        tasks: async ({ jobId, afterIndex, limit }) => homeWithJob(jobId).tasks(jobId, afterIndex, limit),
+        tasks: async ({ jobId, afterIndex, limit }) => requireHomeOfJob(jobId).tasks(jobId, afterIndex, limit),
         decisions: async ({ subject, limit }) =>
             decisions.newest().filter(each => subject === "" || each.subject === subject).slice(0, limit),
         workers: async ({ dataCentre }) =>
@@ -499,7 +508,7 @@
         daemon: async () => daemonView(),
         nodeReport: async () => nodeReport(),
         drain: async ({ reason }) => {
-            askDrain(reason);
+            requestDrain(reason);
             return { draining: true };
         },
     };
@@ -510,16 +519,16 @@
         slots.refresh();
     };
 
-    /** Another session has taken this one over: stop acting, and begin anew. */
-    const rejoin = async (): Promise<void> => {
+    /** Stops acting on all units and opens a new session, after another daemon has fenced the present one. */
+    const reopenSession = async (): Promise<void> => {
         await ownership.abandon();
         await session.open(ownAddress);
         log.write("warn", "sessionReopened", { daemonId: sessionId() });
     };
 
-    const keepSession = async (): Promise<void> => {
+    const maintainSession = async (): Promise<void> => {
         if (session.isFenced()) {
-            await rejoin();
+            await reopenSession();
             return;
         }
         await session.renew();
@@ -527,13 +536,13 @@
 
     const refreshAll = async (): Promise<void> => {
         refreshRound += 1;
-        const readsHead = refreshRound % configurationEvery === 1;
-        await Promise.all([refresh(), readsHead ? configuration.refresh() : Promise.resolve()]);
+        const readsConfiguration = refreshRound % configurationReadRounds === 1;
+        await Promise.all([refresh(), readsConfiguration ? configuration.refresh() : Promise.resolve()]);
         await deputy.fenceLapsed();
     };
 
     let gossipLoop: Loop | undefined;
-    const begin = (name: string, intervalMs: number, run: () => Promise<void>): Loop => {
+    const startNodeLoop = (name: string, intervalMs: number, run: () => Promise<void>): Loop => {
         const loop = startLoop({ clock, log, name, intervalMs, run });
         loops.push(loop);
         return loop;
@@ -542,12 +551,12 @@
     const start = async (address: string): Promise<void> => {
         ownAddress = address;
         await session.open(address);
-        begin("refresh", settings.refreshIntervalMs, refreshAll);
-        begin("session", settings.renewIntervalMs / 3, keepSession);
-        gossipLoop = begin("gossip", settings.gossipIntervalMs, sendGossip);
-        begin("reports", settings.reconcileIntervalMs, rackOwner.flushReports);
+        startNodeLoop("refresh", settings.refreshIntervalMs, refreshAll);
+        startNodeLoop("session", settings.renewIntervalMs / 3, maintainSession);
+        gossipLoop = startNodeLoop("gossip", settings.gossipIntervalMs, sendGossip);
+        startNodeLoop("reports", settings.reconcileIntervalMs, rackOwner.flushReports);
         while (homes.own() === undefined) {
-            await sleep(clock, startPollMs);
+            await sleep(clock, homePollMs);
         }
         log.write("info", "nodeStarted", { daemonId: sessionId(), dataCentre: settings.dataCentre });
     };
