--- a/packages/puffinarch/src/core/jobSpec.ts
+++ b/packages/puffinarch/src/core/jobSpec.ts
@@ -1,4 +1,4 @@
-/** Checking what callers submit. */
+/** Validation of submitted jobs. */
 
 import { z } from "zod";
 import type { Configuration } from "../types/configuration.js";
@@ -10,7 +10,7 @@
 
 const maxTasks = 10_000;
 const maxPayloadLength = 16 * 1024;
-const maxAmount = 4_000_000;
+const maxResourceAmount = 4_000_000;
 
 const specSchema = z.strictObject({
     jobId: nameSchema,
@@ -18,33 +18,39 @@
     team: nameSchema,
     tasks: wholeNumber(1, maxTasks),
     taskSize: z.strictObject({
-        cpuMillis: wholeNumber(1, maxAmount),
-        memoryMib: wholeNumber(1, maxAmount),
+        cpuMillis: wholeNumber(1, maxResourceAmount),
+        memoryMib: wholeNumber(1, maxResourceAmount),
         accelerators: wholeNumber(0, 1_024),
     }),
     atMostOnce: z.boolean("true or false"),
     payload: textUpTo(maxPayloadLength),
 });
 
-const show = ({ cpuMillis, memoryMib, accelerators }: Resources): string =>
+const describeResources = ({ cpuMillis, memoryMib, accelerators }: Resources): string =>
     `${cpuMillis} cpuMillis, ${memoryMib} memoryMib, ${accelerators} accelerators`;
 
-const refuseUnlessFits = (spec: JobSpec, capacities: readonly Resources[]): void => {
+const requireTaskFits = (spec: JobSpec, capacities: readonly Resources[]): void => {
     if (capacities.length === 0 || capacities.some(capacity => fits(spec.taskSize, capacity))) {
         return;
     }
     const limit = capacities.reduce(largest, noResources);
-    die("neverFits", `a task of ${show(spec.taskSize)} fits no worker; the largest amounts are ${show(limit)}`, {
-        violations: [{
-            field: "taskSize",
-            value: show(spec.taskSize),
-            allowed: `at most ${show(limit)} on one worker`,
-        }],
-    });
+    die(
+        "neverFits",
+        `a task of ${describeResources(spec.taskSize)} fits no worker; the largest amounts are ${
+            describeResources(limit)
+        }`,
+        {
+            violations: [{
+                field: "taskSize",
+                value: describeResources(spec.taskSize),
+                allowed: `at most ${describeResources(limit)} on one worker`,
+            }],
+        },
+    );
 };
 
-const refuseGangOverAll = (spec: JobSpec, capacities: readonly Resources[]): void => {
-    const places = capacities.reduce((sum, capacity) => {
+const requireGangFits = (spec: JobSpec, capacities: readonly Resources[]): void => {
+    const maxTasksAtOnce = capacities.reduce((sum, capacity) => {
         const byCpu = Math.floor(capacity.cpuMillis / spec.taskSize.cpuMillis);
         const byMemory = Math.floor(capacity.memoryMib / spec.taskSize.memoryMib);
         const byAccelerators = spec.taskSize.accelerators === 0
@@ -52,20 +58,28 @@
             : Math.floor(capacity.accelerators / spec.taskSize.accelerators);
         return sum + Math.min(byCpu, byMemory, byAccelerators);
     }, 0);
-    if (capacities.length > 0 && places < spec.tasks) {
-        die("neverFits", `all workers together hold ${places} such tasks at once, and the gang has ${spec.tasks}`, {
-            violations: [{ field: "tasks", value: String(spec.tasks), allowed: `at most ${places} at once` }],
-        });
+    if (capacities.length > 0 && maxTasksAtOnce < spec.tasks) {
+        die(
+            "neverFits",
+            `all workers together can run ${maxTasksAtOnce} such tasks at once; the gang has ${spec.tasks}`,
+            {
+                violations: [{
+                    field: "tasks",
+                    value: String(spec.tasks),
+                    allowed: `at most ${maxTasksAtOnce} at once`,
+                }],
+            },
+        );
     }
 };
 
-const refuseOverQuota = (spec: JobSpec, configuration: Configuration, isGang: boolean): void => {
+const requireWithinQuota = (spec: JobSpec, configuration: Configuration, isGang: boolean): void => {
     const quota = configuration.document.quotas.find(each => each.team === spec.team);
     const atOnce = scale(spec.taskSize, isGang ? spec.tasks : 1);
     if (quota !== undefined && (atOnce.cpuMillis > quota.cpuMillis || atOnce.memoryMib > quota.memoryMib)) {
         die(
             "overQuota",
-            `team ${spec.team} may hold ${quota.cpuMillis} cpuMillis and ${quota.memoryMib} memoryMib at once`,
+            `the quota of team ${spec.team} allows ${quota.cpuMillis} cpuMillis and ${quota.memoryMib} memoryMib at once`,
             {
                 retryAfterMs: 60_000,
             },
@@ -74,7 +88,7 @@
 };
 
 /**
- * Checks a job whole against the configuration in force and the workers listed; fails with `invalid`, `neverFits`
+ * Validates a submitted job against the configuration in force and the listed workers; fails with `invalid`, `neverFits`
  * or `overQuota`.
  *
  * @example
@@ -90,23 +104,23 @@
             allowed: `one of ${classes.map(each => each.name).join(", ")}`,
         }], "job");
     const capacities = vms.flatMap(vm => vm.capacity === undefined ? [] : [vm.capacity]);
-    refuseUnlessFits(spec, capacities);
+    requireTaskFits(spec, capacities);
     const isGang = workloadClass.kind === "gang";
     if (isGang) {
-        refuseGangOverAll(spec, capacities);
+        requireGangFits(spec, capacities);
     }
-    refuseOverQuota(spec, configuration, isGang);
+    requireWithinQuota(spec, configuration, isGang);
     return spec;
 };
 
 /**
- * Tells whether two submissions ask for the same job.
+ * Returns whether two job specifications are equal.
  *
  * @example
  * sameSpec(spec, spec); // true
  */
 export const sameSpec = (left: JobSpec, right: JobSpec): boolean => {
-    const text = ({ jobId, workloadClass, team, tasks, taskSize, atMostOnce, payload }: JobSpec): string =>
+    const serialise = ({ jobId, workloadClass, team, tasks, taskSize, atMostOnce, payload }: JobSpec): string =>
         JSON.stringify([
             jobId,
             workloadClass,
@@ -118,5 +132,5 @@
             atMostOnce,
             payload,
         ]);
-    return text(left) === text(right);
+    return serialise(left) === serialise(right);
 };
--- a/packages/puffinarch/src/core/jobs.ts
+++ b/packages/puffinarch/src/core/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs as every daemon can answer for them: it finds the home of a job through the table and asks its holder. */
+/** Operations on jobs that any daemon can serve: it reads a job's home from the table and calls the home's holder. */
 
 import type { Configuration } from "../types/configuration.js";
 import { type Job, jobIdOf, type JobSpec, type Task } from "../types/job.js";
@@ -16,7 +16,7 @@
     readonly unreachable: readonly string[];
 }
 
-/** Calls on jobs, wherever their home is. */
+/** Operations on jobs, whichever daemon holds their home. */
 export interface Jobs {
     submit(input: unknown): Promise<Job>;
     cancel(jobId: string): Promise<Job>;
@@ -27,18 +27,19 @@
     tasks(jobId: string, afterIndex: number, limit: number): Promise<readonly Task[]>;
 }
 
-/** What jobs need. */
+/** Options of `createJobs`. */
 export interface JobsOptions {
     readonly table: TableStore;
     readonly membership: Membership;
     readonly homes: Homes;
     readonly configuration: () => Configuration;
     readonly vms: () => readonly Vm[];
+    /** Whether this daemon accepts new jobs; false while it is drained. */
     readonly accepts: () => boolean;
-    /** Whether what is held here is surely held by nobody else. */
+    /** Whether it is certain that no other session holds the homes of this daemon. */
     readonly mayAct: () => boolean;
     readonly call: CallSession;
-    /** Asks every live daemon; answers by session, and the sessions that did not answer. */
+    /** Calls every live daemon; returns the answers, and the ids of the sessions whose call failed. */
     readonly callAll: <K extends PeerCallName>(
         name: K,
         input: PeerCalls[K]["input"],
@@ -48,7 +49,7 @@
 const retryAfterMs = 1_000;
 
 /**
- * Makes the jobs of a daemon.
+ * Creates the job operations of a daemon.
  *
  * @example
  * const job = await jobs.submit(spec);
@@ -57,7 +58,7 @@
 export const createJobs = (options: JobsOptions): Jobs => {
     const { table, membership, homes, call } = options;
 
-    const homeHere = (jobId: string): Home | undefined => options.mayAct() ? homes.withJob(jobId) : undefined;
+    const localHomeOf = (jobId: string): Home | undefined => options.mayAct() ? homes.withJob(jobId) : undefined;
 
     const holderOfJob = async (jobId: string): Promise<string> => {
         const [row] = await table.read([jobKey(jobId)]);
@@ -68,23 +69,23 @@
     };
 
     const get = async (jobId: string): Promise<Job> => {
-        const here = homeHere(jobId)?.job(jobId);
-        return here ?? call(await holderOfJob(jobId), "job", { jobId });
+        const local = localHomeOf(jobId)?.job(jobId);
+        return local ?? call(await holderOfJob(jobId), "job", { jobId });
     };
 
-    const sameOrRefuse = (known: Job, spec: JobSpec): Job =>
-        sameSpec(known.spec, spec)
-            ? known
-            : die("alreadyExists", `job ${spec.jobId} was accepted before with other contents`, {
+    const requireSameSpec = (existing: Job, spec: JobSpec): Job =>
+        sameSpec(existing.spec, spec)
+            ? existing
+            : die("alreadyExists", `job ${spec.jobId} was accepted before with a different specification`, {
                 violations: [{ field: "jobId", value: `"${spec.jobId}"`, allowed: "an id that was not used before" }],
             });
 
     const submit = async (input: unknown): Promise<Job> => {
         const spec = checkJobSpec(input, options.configuration(), options.vms());
         const own = homes.own();
-        const here = homeHere(spec.jobId)?.job(spec.jobId);
-        if (here !== undefined) {
-            return sameOrRefuse(here, spec);
+        const local = localHomeOf(spec.jobId)?.job(spec.jobId);
+        if (local !== undefined) {
+            return requireSameSpec(local, spec);
         }
         if (own === undefined || !options.accepts()) {
             return die("notAccepted", "this daemon accepts no jobs at present", { retryAfterMs });
@@ -96,7 +97,7 @@
             if (kindOf(error) !== "alreadyExists") {
                 throw error;
             }
-            return sameOrRefuse(await get(spec.jobId), spec);
+            return requireSameSpec(await get(spec.jobId), spec);
         }
     };
 
@@ -104,15 +105,17 @@
         submit,
         get,
         cancel: async jobId => {
-            const here = homeHere(jobId);
-            return here === undefined ? call(await holderOfJob(jobId), "cancel", { jobId }) : here.cancel(jobId);
+            const local = localHomeOf(jobId);
+            return local === undefined
+                ? call(await holderOfJob(jobId), "cancel", { jobId })
+                : local.cancel(jobId);
         },
         cancelTask: async taskId => {
             const jobId = jobIdOf(taskId);
-            const here = homeHere(jobId);
-            return here === undefined
+            const local = localHomeOf(jobId);
+            return local === undefined
                 ? call(await holderOfJob(jobId), "cancelTask", { taskId })
-                : here.cancelTask(taskId);
+                : local.cancelTask(taskId);
         },
         list: async (team, afterJobId, limit) => {
             const { answers, unreachable } = await options.callAll("jobs", { team, afterJobId, limit });
@@ -121,12 +124,12 @@
         },
         task: async taskId => {
             const jobId = jobIdOf(taskId);
-            const here = await homeHere(jobId)?.task(taskId);
-            return here ?? call(await holderOfJob(jobId), "task", { taskId });
+            const local = await localHomeOf(jobId)?.task(taskId);
+            return local ?? call(await holderOfJob(jobId), "task", { taskId });
         },
         tasks: async (jobId, afterIndex, limit) => {
-            const here = homeHere(jobId);
-            return here?.tasks(jobId, afterIndex, limit)
+            const local = localHomeOf(jobId);
+            return local?.tasks(jobId, afterIndex, limit)
                 ?? call(await holderOfJob(jobId), "tasks", { jobId, afterIndex, limit });
         },
     };
--- a/packages/puffinarch/src/core/outcomes.ts
+++ b/packages/puffinarch/src/core/outcomes.ts
@@ -1,24 +1,24 @@
-/** What an ended attempt means for its task: a final state, or another attempt. */
+/** Decides what the end of an attempt does to its task: it gets a final state or another attempt. */
 
 import { type WorkloadClass } from "../types/configuration.js";
 import { type AttemptOutcome, type AttemptReport, workloadKinds } from "../types/job.js";
 import type { AttemptAbandonedRecord, JournalRecord, TaskEndedRecord } from "../types/records.js";
 import { isCancelled, type TaskEntry } from "./homeState.js";
 
-/** What the decision needs besides the task and the report. */
+/** Inputs of the decision besides the task and the report. */
 export interface OutcomeContext {
     readonly nowMs: number;
     readonly workloadClass: WorkloadClass;
-    /** Where the result stands: inline, or in the object store. */
+    /** The result itself, or its key in the object store. */
     readonly result: Pick<TaskEndedRecord, "result" | "resultKey">;
 }
 
 type OutcomeHandler = (task: TaskEntry, report: AttemptReport, context: OutcomeContext) => JournalRecord;
-type End = Pick<TaskEndedRecord, "state" | "detail" | "started"> & Partial<TaskEndedRecord>;
+type TaskEndFields = Pick<TaskEndedRecord, "state" | "detail" | "started"> & Partial<TaskEndedRecord>;
 
 const maxBatchAttempts = 3;
 
-const end = (task: TaskEntry, { nowMs }: OutcomeContext, fields: End): JournalRecord => ({
+const endTask = (task: TaskEntry, { nowMs }: OutcomeContext, fields: TaskEndFields): JournalRecord => ({
     kind: "taskEnded",
     taskId: task.taskId,
     startedAtMs: task.startedAtMs,
@@ -26,7 +26,12 @@
     ...fields,
 });
 
-const abandon = (task: TaskEntry, started: boolean, reason: string, checkpoint = ""): AttemptAbandonedRecord => ({
+const abandonAttempt = (
+    task: TaskEntry,
+    started: boolean,
+    reason: string,
+    checkpoint = "",
+): AttemptAbandonedRecord => ({
     kind: "attemptAbandoned",
     taskId: task.taskId,
     attemptId: task.attemptId ?? "",
@@ -42,40 +47,40 @@
     return kind === workloadKinds.service || task.attempts < maxBatchAttempts;
 };
 
-/** The attempt started, or may have, and surely runs no more. */
-const lost = (task: TaskEntry, context: OutcomeContext, reason: string): JournalRecord => {
+/** Record for an attempt that may have started, certainly does not run any more and gave no result. */
+const recordLoss = (task: TaskEntry, context: OutcomeContext, reason: string): JournalRecord => {
     if (isCancelled(task)) {
-        return end(task, context, { state: "cancelled", detail: reason, started: true });
+        return endTask(task, context, { state: "cancelled", detail: reason, started: true });
     }
     return task.job.spec.atMostOnce
-        ? end(task, context, { state: "mayHaveRun", detail: reason, started: true })
-        : abandon(task, true, reason);
+        ? endTask(task, context, { state: "mayHaveRun", detail: reason, started: true })
+        : abandonAttempt(task, true, reason);
 };
 
 const handlers: Readonly<Record<AttemptOutcome, OutcomeHandler>> = {
     completed: (task, _report, context) =>
-        end(task, context, { state: "completed", detail: "", started: true, ...context.result }),
+        endTask(task, context, { state: "completed", detail: "", started: true, ...context.result }),
     failed: (task, { result }, context) =>
         mayRetry(task, context.workloadClass)
-            ? abandon(task, true, `failed on ${task.workerId}: ${result}`)
-            : end(task, context, { state: "failed", detail: result, started: true }),
+            ? abandonAttempt(task, true, `failed on ${task.workerId}: ${result}`)
+            : endTask(task, context, { state: "failed", detail: result, started: true }),
     stopped: (task, { checkpoint }, context) => {
         if (isCancelled(task)) {
-            return end(task, context, { state: "cancelled", detail: "stopped", started: true });
+            return endTask(task, context, { state: "cancelled", detail: "stopped", started: true });
         }
         const reason = `stopped on ${task.workerId}`;
-        return checkpoint === "" ? lost(task, context, reason) : abandon(task, true, reason, checkpoint);
+        return checkpoint === "" ? recordLoss(task, context, reason) : abandonAttempt(task, true, reason, checkpoint);
     },
-    lapsed: (task, _report, context) => lost(task, context, `the lease lapsed on ${task.workerId}`),
-    absent: (task, _report, context) => lost(task, context, `lost with ${task.workerId}`),
+    lapsed: (task, _report, context) => recordLoss(task, context, `the lease expired on ${task.workerId}`),
+    absent: (task, _report, context) => recordLoss(task, context, `the attempt was lost on ${task.workerId}`),
     notStarted: (task, _report, context) =>
         isCancelled(task)
-            ? end(task, context, { state: "cancelled", detail: "cancelled before it started", started: false })
-            : abandon(task, false, `did not start on ${task.workerId}`),
+            ? endTask(task, context, { state: "cancelled", detail: "cancelled before it started", started: false })
+            : abandonAttempt(task, false, `did not start on ${task.workerId}`),
 };
 
 /**
- * Decides what is written about an ended attempt.
+ * Returns the journal record for an ended attempt.
  *
  * @example
  * const record = recordFor(task, report, { nowMs, workloadClass, result: {} });
--- a/packages/puffinarch/src/core/reportOutbox.ts
+++ b/packages/puffinarch/src/core/reportOutbox.ts
@@ -1,22 +1,23 @@
-/** Ended attempts on their way to the homes of their tasks: kept and sent again until the home has made them durable. */
+/** Delivery of reports on ended attempts to the homes of their tasks; a report is sent again until its home has made it durable. */
 
 import type { AttemptReport } from "../types/job.js";
 import type { Log } from "../types/ports.js";
 import { failureOf } from "../utils/errors.js";
 import type { Attempt } from "./attempts.js";
 
-/** Reports that wait to be settled. */
+/** Reports that their home has not settled yet. */
 export interface ReportOutbox {
     add(attempt: Attempt): void;
+    /** Gives up the delivery of an attempt's report. */
     drop(attempt: Attempt): void;
-    /** Sends everything that waits, one call a home. */
+    /** Sends pending reports in one call per home; a home whose previous call is still in flight is left out. */
     flush(): Promise<void>;
 }
 
-/** What an outbox needs. */
+/** Options of `createReportOutbox`. */
 export interface ReportOutboxOptions {
     readonly log: Log;
-    /** Sends reports to the home's present holder; answers the attempts settled there. */
+    /** Sends reports to the home's present holder; returns the ids of the attempts that are settled there. */
     readonly report: (homeId: string, reports: readonly AttemptReport[]) => Promise<readonly string[]>;
     readonly onSettled: (attempt: Attempt) => void;
 }
@@ -24,23 +25,23 @@
 const reportsPerCall = 512;
 
 /**
- * Makes an empty outbox.
+ * Creates an empty outbox.
  *
  * @example
  * outbox.add(attempt);
  * await outbox.flush();
  */
 export const createReportOutbox = ({ log, report, onSettled }: ReportOutboxOptions): ReportOutbox => {
-    const waiting = new Set<Attempt>();
-    const busy = new Set<string>();
+    const pending = new Set<Attempt>();
+    const homesInFlight = new Set<string>();
 
     const send = async (homeId: string, batch: readonly Attempt[]): Promise<void> => {
-        busy.add(homeId);
+        homesInFlight.add(homeId);
         try {
             const reports = batch.flatMap(attempt => attempt.report === undefined ? [] : [attempt.report]);
             const settled = new Set(await report(homeId, reports));
             for (const attempt of batch) {
-                if (settled.has(attempt.attemptId) && waiting.delete(attempt)) {
+                if (settled.has(attempt.attemptId) && pending.delete(attempt)) {
                     onSettled(attempt);
                 }
             }
@@ -49,15 +50,15 @@
             log.write("debug", "reportWaits", { homeId, reports: batch.length, ...failureOf(error) });
         }
         finally {
-            busy.delete(homeId);
+            homesInFlight.delete(homeId);
         }
     };
 
-    const byHome = (): ReadonlyMap<string, readonly Attempt[]> => {
+    const batchesByHome = (): ReadonlyMap<string, readonly Attempt[]> => {
         const batches = new Map<string, Attempt[]>();
-        for (const attempt of waiting) {
+        for (const attempt of pending) {
             const batch = batches.get(attempt.homeId) ?? [];
-            if (batch.length < reportsPerCall && !busy.has(attempt.homeId)) {
+            if (batch.length < reportsPerCall && !homesInFlight.has(attempt.homeId)) {
                 batch.push(attempt);
                 batches.set(attempt.homeId, batch);
             }
@@ -66,17 +67,18 @@
     };
 
     const flush = async (): Promise<void> => {
+        // Lets all reports of the current tick share a call.
         await Promise.resolve();
-        await Promise.all([...byHome()].map(([homeId, batch]) => send(homeId, batch)));
+        await Promise.all([...batchesByHome()].map(([homeId, batch]) => send(homeId, batch)));
     };
 
     return {
         add: attempt => {
-            waiting.add(attempt);
+            pending.add(attempt);
             void flush();
         },
         drop: attempt => {
-            waiting.delete(attempt);
+            pending.delete(attempt);
         },
         flush,
     };
--- a/packages/puffinarch/src/core/requestClaims.ts
+++ b/packages/puffinarch/src/core/requestClaims.ts
@@ -7,33 +7,33 @@
 import { errorOf } from "../utils/errors.js";
 import { sleep } from "../utils/time.js";
 
-/** A claim that holds. */
+/** A request id that was claimed. */
 export interface RequestClaim {
-    /** Gives the id free again, for a request that surely did not run; best effort while the table is out. */
+    /** Releases the id of a request that did not run. Gives up after a few tries if the table fails; the id then stays claimed. */
     release(): Promise<void>;
 }
 
 /** Claims request ids in the table. */
 export interface RequestClaims {
     /**
-     * Resolves to the claim, or to undefined where the id was claimed before.
-     * Rejects with `notRun` where the table does not answer in time; nothing may be run then.
+     * Resolves to the claim, or to undefined if the id was claimed before. Rejects with `notRun` if the table does not
+     * decide in time, and with `overloaded` if too many claims are pending; the request must not be run then.
      */
     claim(service: string, requestId: string): Promise<RequestClaim | undefined>;
 }
 
-/** What claims need. */
+/** Options of `createRequestClaims`. */
 export interface RequestClaimsOptions {
     readonly table: TableStore;
     readonly clock: Clock;
     readonly meter: Meter;
     readonly sessionId: () => string;
-    /** Claims that are not decided by then are rejected. */
+    /** Claims that are undecided after this time are rejected. */
     readonly timeoutMs: number;
     readonly maxPending: number;
 }
 
-interface Waiting {
+interface PendingClaim {
     readonly key: string;
     readonly token: string;
     readonly giveUpAtMs: number;
@@ -45,24 +45,25 @@
     readonly token: string;
 }
 
+/** A transaction takes at most 25 rows. */
 const claimsPerTransaction = 25;
 const retryMs = 50;
 const releaseTries = 5;
 
 /**
- * Makes the claims of one daemon.
+ * Creates the request claims of one daemon.
  *
  * @example
  * await claims.claim("claims-core", "payout-17"); // a claim the first time, undefined ever after
  */
 export const createRequestClaims = (options: RequestClaimsOptions): RequestClaims => {
     const { table, clock, meter } = options;
-    const waiting: Waiting[] = [];
+    const pending: PendingClaim[] = [];
     let sequence = 0;
     let running = false;
 
     const release = async (key: string, version: number): Promise<void> => {
-        for (let left = releaseTries; left > 0; left -= 1) {
+        for (let triesLeft = releaseTries; triesLeft > 0; triesLeft -= 1) {
             const { outcome } = await table.transact({ conditions: [{ key, version }], puts: [], deletes: [key] });
             if (outcome === "committed" || outcome === "conflict") {
                 return;
@@ -74,7 +75,7 @@
 
     const claimOf = (key: string, version: number): RequestClaim => ({ release: () => release(key, version) });
 
-    const giveUpLate = (batch: readonly Waiting[]): readonly Waiting[] =>
+    const rejectExpired = (batch: readonly PendingClaim[]): readonly PendingClaim[] =>
         batch.filter(each => {
             if (clock.monotonicMs() < each.giveUpAtMs) {
                 return true;
@@ -89,8 +90,8 @@
             return false;
         });
 
-    /** Decides what the table can tell; the rest is returned to be tried again. */
-    const readBack = async (batch: readonly Waiting[]): Promise<readonly Waiting[]> => {
+    /** Resolves the claims whose row exists, by the token in it; returns the others for another try. */
+    const resolveExisting = async (batch: readonly PendingClaim[]): Promise<readonly PendingClaim[]> => {
         const rows = await table.read(batch.map(each => each.key)).catch(() => undefined);
         if (rows === undefined) {
             return batch;
@@ -101,14 +102,14 @@
             if (row === undefined) {
                 return true;
             }
-            const mine = (row.value as ClaimValue).token === each.token;
-            each.resolve(mine ? claimOf(each.key, row.version) : undefined);
+            const isOwn = (row.value as ClaimValue).token === each.token;
+            each.resolve(isOwn ? claimOf(each.key, row.version) : undefined);
             return false;
         });
     };
 
-    const decide = async (whole: readonly Waiting[]): Promise<void> => {
-        let batch = giveUpLate(whole);
+    const commitClaims = async (claims: readonly PendingClaim[]): Promise<void> => {
+        let batch = rejectExpired(claims);
         while (batch.length > 0) {
             const result = await table.transact({
                 conditions: batch.map(each => ({ key: each.key, version: "absent" as const })),
@@ -125,31 +126,31 @@
             if (result.outcome !== "conflict") {
                 await sleep(clock, retryMs);
             }
-            batch = giveUpLate(result.outcome === "refused" ? batch : await readBack(batch));
+            batch = rejectExpired(result.outcome === "refused" ? batch : await resolveExisting(batch));
         }
     };
 
-    const takeBatch = (): readonly Waiting[] => {
-        const batch: Waiting[] = [];
+    const takeBatch = (): readonly PendingClaim[] => {
+        const batch: PendingClaim[] = [];
         const keys = new Set<string>();
-        const later: Waiting[] = [];
-        for (const each of waiting.splice(0)) {
+        const deferred: PendingClaim[] = [];
+        for (const each of pending.splice(0)) {
             if (batch.length === claimsPerTransaction || keys.has(each.key)) {
-                later.push(each);
+                deferred.push(each);
                 continue;
             }
             keys.add(each.key);
             batch.push(each);
         }
-        waiting.push(...later);
+        pending.push(...deferred);
         return batch;
     };
 
     const run = async (): Promise<void> => {
         running = true;
         await Promise.resolve();
-        while (waiting.length > 0) {
-            await decide(takeBatch());
+        while (pending.length > 0) {
+            await commitClaims(takeBatch());
         }
         running = false;
     };
@@ -157,12 +158,18 @@
     return {
         claim: (service, requestId) =>
             new Promise((resolve, reject) => {
-                if (waiting.length >= options.maxPending) {
-                    reject(errorOf({ kind: "overloaded", message: "too many request ids wait", retryAfterMs: 1_000 }));
+                if (pending.length >= options.maxPending) {
+                    reject(
+                        errorOf({
+                            kind: "overloaded",
+                            message: "too many request ids wait to be claimed",
+                            retryAfterMs: 1_000,
+                        }),
+                    );
                     return;
                 }
                 sequence += 1;
-                waiting.push({
+                pending.push({
                     key: `request/${service}/${requestId}`,
                     token: `${options.sessionId()}.${sequence}`,
                     giveUpAtMs: clock.monotonicMs() + options.timeoutMs,
