--- a/packages/puffinarch/src/core/configurationDocument.ts
+++ b/packages/puffinarch/src/core/configurationDocument.ts
@@ -1,4 +1,4 @@
-/** Checking and comparing configuration documents; pure. */
+/** Validation and comparison of configuration documents; pure functions. */
 
 import { z } from "zod";
 import { placementNames } from "../plugins/placements.js";
@@ -7,7 +7,7 @@
 import { check, nameSchema, oneOf, rejectAll, wholeNumber } from "../utils/check.js";
 import type { Violation } from "../utils/errors.js";
 
-const maxCpuMillis = 4_000_000_000;
+const maxQuotaAmount = 4_000_000_000;
 
 const policySchema = z.strictObject({
     name: nameSchema,
@@ -24,8 +24,8 @@
 
 const quotaSchema = z.strictObject({
     team: nameSchema,
-    cpuMillis: wholeNumber(1, maxCpuMillis),
-    memoryMib: wholeNumber(1, maxCpuMillis),
+    cpuMillis: wholeNumber(1, maxQuotaAmount),
+    memoryMib: wholeNumber(1, maxQuotaAmount),
 });
 
 const documentSchema = z.strictObject({
@@ -49,7 +49,7 @@
     quotas: [],
 };
 
-const repeats = (list: string, field: string, names: readonly string[]): readonly Violation[] => {
+const duplicateViolations = (list: string, field: string, names: readonly string[]): readonly Violation[] => {
     const violations: Violation[] = [];
     const seen = new Set<string>();
     for (const [index, name] of names.entries()) {
@@ -61,7 +61,7 @@
     return violations;
 };
 
-const danglingPolicies = (document: ConfigurationDocument): readonly Violation[] => {
+const unknownPolicyViolations = (document: ConfigurationDocument): readonly Violation[] => {
     const violations: Violation[] = [];
     const names = document.policies.map(policy => policy.name);
     for (const [index, workloadClass] of document.workloadClasses.entries()) {
@@ -77,7 +77,8 @@
 };
 
 /**
- * Checks a document whole; fails with the kind `invalid` and every violation at once.
+ * Validates a document. Fails with `invalid`, with all violations of the schema or, if there are none, with all duplicate
+ * names and unknown policies.
  *
  * @example
  * checkDocument(initialDocument).policies.length; // 3
@@ -85,15 +86,15 @@
 export const checkDocument = (input: unknown): ConfigurationDocument => {
     const document = check(documentSchema, input, "configuration");
     const violations = [
-        ...repeats("policies", "name", document.policies.map(policy => policy.name)),
-        ...repeats("workloadClasses", "name", document.workloadClasses.map(each => each.name)),
-        ...repeats("quotas", "team", document.quotas.map(quota => quota.team)),
-        ...danglingPolicies(document),
+        ...duplicateViolations("policies", "name", document.policies.map(policy => policy.name)),
+        ...duplicateViolations("workloadClasses", "name", document.workloadClasses.map(each => each.name)),
+        ...duplicateViolations("quotas", "team", document.quotas.map(quota => quota.team)),
+        ...unknownPolicyViolations(document),
     ];
     return violations.length === 0 ? document : rejectAll(violations, "configuration");
 };
 
-const linesOf = (document: ConfigurationDocument): readonly string[] => [
+const describeDocument = (document: ConfigurationDocument): readonly string[] => [
     ...document.policies.map(each => `policy ${each.name}: ${each.placement}, sampleSize ${each.sampleSize}`),
     ...document.workloadClasses.map(each =>
         `class ${each.name}: ${each.kind}, policy ${each.policy}, priority ${each.priority}`
@@ -102,15 +103,15 @@
 ];
 
 /**
- * Shows what changes from one document to the next, a line each, removed ones marked `-` and added ones `+`.
+ * Returns the difference of two documents, a line per policy, class or quota: `-` marks removed lines and `+` added ones.
  *
  * @example
  * diffDocuments(initialDocument, initialDocument); // ""
  */
 export const diffDocuments = (before: ConfigurationDocument, after: ConfigurationDocument): string => {
-    const old = linesOf(before);
-    const fresh = linesOf(after);
-    const removed = old.filter(line => !fresh.includes(line)).map(line => `- ${line}`);
-    const added = fresh.filter(line => !old.includes(line)).map(line => `+ ${line}`);
+    const oldLines = describeDocument(before);
+    const newLines = describeDocument(after);
+    const removed = oldLines.filter(line => !newLines.includes(line)).map(line => `- ${line}`);
+    const added = newLines.filter(line => !oldLines.includes(line)).map(line => `+ ${line}`);
     return [...removed, ...added].join("\n");
 };
--- a/packages/puffinarch/src/core/configurationStore.ts
+++ b/packages/puffinarch/src/core/configurationStore.ts
@@ -1,6 +1,7 @@
 /**
- * The configuration in force. One head row holds the latest version; a change is conditional on the version that
- * the operator saw. A daemon adopts only higher versions, from the table or from a peer, so nothing reverts.
+ * The configuration in force. One head row holds the latest version, and a change is conditional on the version that
+ * the operator has read. A daemon adopts only higher versions, from the table or from a peer, so a late message cannot
+ * restore an older one.
  */
 
 import type {
@@ -15,31 +16,38 @@
 import { sleep } from "../utils/time.js";
 import { checkDocument, diffDocuments, initialDocument } from "./configurationDocument.js";
 
-/** The versions of the configuration as this daemon knows them. */
+/** The configuration in force on this daemon, and the accepted versions in the table. */
 export interface ConfigurationStore {
     inForce(): Configuration;
     inForceSinceMs(): number;
-    /** Reads the head row and adopts it where it is newer. */
+    /** Reads the head row and adopts it if it is newer. */
     refresh(): Promise<void>;
-    /** Adopts a version told by a peer where it is newer. */
+    /** Adopts a version received from a peer if it is newer. */
     adopt(configuration: Configuration): void;
-    /** Fails with `invalid`, or with `conflict` naming the winner; resolves once the version is accepted. */
+    /**
+     * Writes a document as the next version; resolves once it is accepted. Fails with `invalid`, with `conflict` and the
+     * winning version if another change came first, with `unavailable` or `notAccepted` if the table is unreachable, and with
+     * `mayHaveRun` if the outcome stays unknown.
+     */
     apply(document: unknown, context: ChangeContext): Promise<Configuration>;
     /** Reads one accepted version. */
     version(version: number): Promise<Configuration>;
-    /** Newest first. */
+    /** Accepted versions, newest first. */
     history(limit: number): Promise<readonly Configuration[]>;
+    /** Deletes a superseded version from the history. */
     forget(version: number): Promise<void>;
+    /** The policy in force, or a default for an unknown name. */
     policyOf(name: string): Policy;
+    /** The workload class in force, or a default for an unknown name. */
     classOf(name: string): WorkloadClass;
 }
 
-/** What the configuration store needs. */
+/** Options of `createConfigurationStore`. */
 export interface ConfigurationStoreOptions {
     readonly table: TableStore;
     readonly clock: Clock;
     readonly log: Log;
-    /** Runs after each adoption, so that peers can be told. */
+    /** Called after each adoption, so that peers can be informed. */
     readonly onAdopted: (configuration: Configuration) => void;
 }
 
@@ -55,7 +63,7 @@
 const fallbackPolicy: Policy = { name: "fallback", placement: "bestFit", sampleSize: 2 };
 
 /**
- * Makes the store; version 0, the initial document, is in force until the table or a peer says otherwise.
+ * Creates the store; version 0, the initial document, is in force until a higher version comes from the table or a peer.
  *
  * @example
  * await store.apply(document, { expectedVersion: 0, author: "ana", reason: "first policies" });
@@ -87,13 +95,13 @@
         return row;
     };
 
-    const refuse = (winner: Configuration, document: ConfigurationDocument): never =>
+    const rejectConflict = (winner: Configuration, document: ConfigurationDocument): never =>
         die("conflict", `version ${winner.version} by ${winner.author} is in force`, {
             winningVersion: winner.version,
             difference: diffDocuments(winner.document, document),
         });
 
-    const put = async (next: Configuration, head: TableRow | undefined) =>
+    const writeVersion = async (next: Configuration, head: TableRow | undefined) =>
         table.transact({
             conditions: [{ key: headKey, version: head?.version ?? "absent" }],
             puts: [{ key: headKey, value: next }, { key: historyKey(next.version), value: next }],
@@ -103,9 +111,9 @@
     const isSame = (left: Configuration, right: Configuration): boolean =>
         JSON.stringify(left) === JSON.stringify(right);
 
-    /** After a lost reply: the history row of the version says whose change won, for good. */
-    const settle = async (next: Configuration, head: TableRow | undefined): Promise<Configuration> => {
-        for (let left = readBackTries; left > 0; left -= 1) {
+    /** Resolves a conflict or an unknown outcome: the history row of the version shows which change was accepted. */
+    const resolveOutcome = async (next: Configuration, head: TableRow | undefined): Promise<Configuration> => {
+        for (let triesLeft = readBackTries; triesLeft > 0; triesLeft -= 1) {
             await sleep(clock, readBackRetryMs);
             const rows = await table.read([headKey, historyKey(next.version)]).catch(() => undefined);
             if (rows === undefined) {
@@ -113,16 +121,16 @@
             }
             const accepted = rows.find(row => row.key === historyKey(next.version))?.value as Configuration | undefined;
             if (accepted !== undefined) {
-                return isSame(accepted, next) ? next : refuse(accepted, next.document);
+                return isSame(accepted, next) ? next : rejectConflict(accepted, next.document);
             }
-            const again = await put(next, head);
-            if (again.outcome === "committed") {
+            const retried = await writeVersion(next, head);
+            if (retried.outcome === "committed") {
                 return next;
             }
         }
         return die(
             "mayHaveRun",
-            `version ${next.version} may have been accepted; read the configuration before a new try`,
+            `version ${next.version} may have been accepted; read the configuration before you try again`,
             {
                 retryAfterMs,
             },
@@ -135,7 +143,7 @@
         const current = (head?.value as Configuration | undefined) ?? inForce;
         if (current.version !== context.expectedVersion) {
             adopt(current);
-            return refuse(current, document);
+            return rejectConflict(current, document);
         }
         const { author, reason, expectedVersion } = context;
         const next: Configuration = {
@@ -145,12 +153,12 @@
             reason,
             acceptedAtMs: clock.nowMs(),
         };
-        const { outcome } = await put(next, head);
+        const { outcome } = await writeVersion(next, head);
         if (outcome === "refused") {
-            return die("notAccepted", "the platform's table is out of reach; nothing was changed", { retryAfterMs });
+            return die("notAccepted", "the platform's table is unreachable; nothing was changed", { retryAfterMs });
         }
         if (outcome === "conflict" || outcome === "unknown") {
-            await settle(next, head);
+            await resolveOutcome(next, head);
         }
         adopt(next);
         return next;
@@ -161,26 +169,26 @@
         return rows.map(row => row.value as Configuration).reverse().slice(0, limit);
     };
 
-    const version = async (wanted: number): Promise<Configuration> => {
-        if (wanted === inForce.version) {
+    const version = async (requested: number): Promise<Configuration> => {
+        if (requested === inForce.version) {
             return inForce;
         }
-        const [row] = await table.read([historyKey(wanted)]);
+        const [row] = await table.read([historyKey(requested)]);
         return row === undefined
-            ? die("notFound", `there is no version ${wanted} in the history`)
+            ? die("notFound", `there is no version ${requested} in the history`)
             : row.value as Configuration;
     };
 
-    const forget = async (wanted: number): Promise<void> => {
+    const forget = async (requested: number): Promise<void> => {
         const head = (await readHead())?.value as Configuration | undefined;
-        if (wanted === (head?.version ?? inForce.version)) {
-            die("invalid", `version ${wanted} is in force`, {
-                violations: [{ field: "version", value: String(wanted), allowed: "a superseded version" }],
+        if (requested === (head?.version ?? inForce.version)) {
+            die("invalid", `version ${requested} is in force`, {
+                violations: [{ field: "version", value: String(requested), allowed: "a superseded version" }],
             });
         }
-        const [row] = await table.read([historyKey(wanted)]);
+        const [row] = await table.read([historyKey(requested)]);
         if (row === undefined) {
-            return die("notFound", `there is no version ${wanted} in the history`);
+            return die("notFound", `there is no version ${requested} in the history`);
         }
         const { outcome } = await table.transact({
             conditions: [{ key: row.key, version: row.version }],
@@ -188,7 +196,7 @@
             deletes: [row.key],
         });
         if (outcome === "refused" || outcome === "unknown") {
-            die("unavailable", "the platform's table is out of reach", { retryAfterMs });
+            die("unavailable", "the platform's table is unreachable", { retryAfterMs });
         }
     };
 
