--- a/features/steps/examples/ownership.ts
+++ b/features/steps/examples/ownership.ts
@@ -39,7 +39,7 @@
     type Meter,
     type OwnedWorker,
     type Policy,
-    recordFor,
+    recordForOutcome,
     remediesFor,
     saveSnapshot,
     type Session,
@@ -234,7 +234,7 @@
 
 const outcomes = (): string => {
     const report = { attemptId: "a1", taskId: "load-in-7/0", outcome: "lapsed", result: "", checkpoint: "" } as const;
-    return recordFor(queuedTask().task, report, { nowMs: 0, workloadClass: batch, result: {} }).kind;
+    return recordForOutcome(queuedTask().task, report, { nowMs: 0, workloadClass: batch, result: {} }).kind;
 };
 
 const placer = async (): Promise<string> => {
@@ -360,7 +360,7 @@
         homes,
         configuration: () => configuration,
         vms: () => [workerVm],
-        accepts: () => true,
+        acceptsJobs: () => true,
         mayAct: own.mayAct,
         call: async () => ({}) as never,
         callAll: async () => ({ answers: [], unreachable: [] }),
--- a/packages/puffinarch/src/core/configurationStore.ts
+++ b/packages/puffinarch/src/core/configurationStore.ts
@@ -35,7 +35,7 @@
     /** Accepted versions, newest first. */
     history(limit: number): Promise<readonly Configuration[]>;
     /** Deletes a superseded version from the history. */
-    forget(version: number): Promise<void>;
+    deleteVersion(version: number): Promise<void>;
     /** The policy in force, or a default for an unknown name. */
     policyOf(name: string): Policy;
     /** The workload class in force, or a default for an unknown name. */
@@ -179,7 +179,7 @@
             : row.value as Configuration;
     };
 
-    const forget = async (requested: number): Promise<void> => {
+    const deleteVersion = async (requested: number): Promise<void> => {
         const head = (await readHead())?.value as Configuration | undefined;
         if (requested === (head?.version ?? inForce.version)) {
             die("invalid", `version ${requested} is in force`, {
@@ -213,7 +213,7 @@
         apply,
         version,
         history,
-        forget,
+        deleteVersion,
         policyOf: name => inForce.document.policies.find(policy => policy.name === name) ?? fallbackPolicy,
         classOf: name =>
             inForce.document.workloadClasses.find(each => each.name === name)
--- a/packages/puffinarch/src/core/home.ts
+++ b/packages/puffinarch/src/core/home.ts
@@ -30,7 +30,7 @@
 import { type HomeState, isCancelled, type JobEntry, showJob, showTask, type TaskEntry } from "./homeState.js";
 import type { Journal } from "./journal.js";
 import type { Membership } from "./membership.js";
-import { recordFor } from "./outcomes.js";
+import { recordForOutcome } from "./outcomes.js";
 import { createPlacer, type ReservedTask } from "./placer.js";
 import type { OwnerCapacity } from "./rooms.js";
 import type { LoadedSnapshot } from "./snapshots.js";
@@ -280,7 +280,11 @@
 
     const settle = async (task: TaskEntry, ended: AttemptReport): Promise<void> => {
         const result = await storeResult(ended);
-        const record = recordFor(task, ended, { nowMs: clock.nowMs(), workloadClass: classOf(task.job), result });
+        const record = recordForOutcome(task, ended, {
+            nowMs: clock.nowMs(),
+            workloadClass: classOf(task.job),
+            result,
+        });
         if (ended.outcome === "failed" && task.workerId !== undefined) {
             task.failedOn.add(task.workerId);
             task.failures += 1;
--- a/packages/puffinarch/src/core/homes.ts
+++ b/packages/puffinarch/src/core/homes.ts
@@ -9,7 +9,7 @@
 import { createJournal, replay } from "./journal.js";
 import type { Membership, VersionedUnit } from "./membership.js";
 import type { UnitHandler } from "./ownership.js";
-import { forgetRows, loadSnapshot, saveSnapshot } from "./snapshots.js";
+import { deleteHomeRows, loadSnapshot, saveSnapshot } from "./snapshots.js";
 
 /** The homes that this daemon holds. */
 export interface Homes {
@@ -100,10 +100,10 @@
             journal,
             state,
             saveSnapshot: snapshot => saveSnapshot(snapshotOptions, snapshot),
-            deleteJobRows: jobIds => forgetRows(snapshotOptions, jobIds.map(jobKey)),
+            deleteJobRows: jobIds => deleteHomeRows(snapshotOptions, jobIds.map(jobKey)),
         });
         homes.set(unit.name, home);
-        await forgetRows(snapshotOptions, staleKeys);
+        await deleteHomeRows(snapshotOptions, staleKeys);
         log.write("info", "homeOpened", { homeId: unit.name, records: records.length, nextSequence });
     };
 
--- a/packages/puffinarch/src/core/jobs.ts
+++ b/packages/puffinarch/src/core/jobs.ts
@@ -35,7 +35,7 @@
     readonly configuration: () => Configuration;
     readonly vms: () => readonly Vm[];
     /** Whether this daemon accepts new jobs; false while it is drained. */
-    readonly accepts: () => boolean;
+    readonly acceptsJobs: () => boolean;
     /** Whether it is certain that no other session holds the homes of this daemon. */
     readonly mayAct: () => boolean;
     readonly call: CallSession;
@@ -87,7 +87,7 @@
         if (local !== undefined) {
             return requireSameSpec(local, spec);
         }
-        if (own === undefined || !options.accepts()) {
+        if (own === undefined || !options.acceptsJobs()) {
             return die("notAccepted", "this daemon accepts no jobs at present", { retryAfterMs });
         }
         try {
--- a/packages/puffinarch/src/core/journal.ts
+++ b/packages/puffinarch/src/core/journal.ts
@@ -93,7 +93,7 @@
     `journal/${journalId}/${String(sequence).padStart(sequenceDigits, "0")}`;
 
 /** Content of a journal. */
-export interface Replayed {
+export interface ReplayResult {
     readonly records: readonly JournalRecord[];
     /** Sequence number of the next batch. */
     readonly nextSequence: number;
@@ -107,7 +107,7 @@
  * @example
  * const { records, nextSequence } = await replay(table, "home-1", 0);
  */
-export const replay = async (table: TableStore, journalId: string, fromSequence: number): Promise<Replayed> => {
+export const replay = async (table: TableStore, journalId: string, fromSequence: number): Promise<ReplayResult> => {
     const rows = await table.scan(`journal/${journalId}/`);
     const records: JournalRecord[] = [];
     const staleKeys: string[] = [];
--- a/packages/puffinarch/src/core/node.ts
+++ b/packages/puffinarch/src/core/node.ts
@@ -49,7 +49,7 @@
 }
 
 /** Result of a call to all live daemons: the answers, and the ids of the sessions whose call failed. */
-export interface Answers<T> {
+export interface CallAllResult<T> {
     readonly answers: readonly T[];
     readonly unreachable: readonly string[];
 }
@@ -74,9 +74,12 @@
     readonly slots: Slots;
     readonly router: Router;
     /** Logs a decision and keeps it for queries; only the latest decisions are kept. */
-    noteDecision(decision: Decision): void;
+    recordDecision(decision: Decision): void;
     /** Calls every live daemon, this one included. */
-    callAll<K extends PeerCallName>(name: K, input: PeerCalls[K]["input"]): Promise<Answers<PeerCalls[K]["output"]>>;
+    callAll<K extends PeerCallName>(
+        name: K,
+        input: PeerCalls[K]["input"],
+    ): Promise<CallAllResult<PeerCalls[K]["output"]>>;
     /** Calls the daemon of a session; fails with `unavailable` for an unknown session. */
     call<K extends PeerCallName>(
         sessionId: string,
@@ -84,7 +87,7 @@
         input: PeerCalls[K]["input"],
     ): Promise<PeerCalls[K]["output"]>;
     /** Resolves with the reason once a peer or an operator requests a graceful shutdown. */
-    readonly drainAsked: Promise<string>;
+    readonly drainRequested: Promise<string>;
     /**
      * Resources held by the team's active tasks, on this daemon and on all peers whose gossip is recent; counted only for
      * teams with a quota.
@@ -143,11 +146,11 @@
     let gossipRound = 0;
     let refreshRound = 0;
     let requestDrain = (_reason: string): void => {};
-    const drainAsked = new Promise<string>(resolve => {
+    const drainRequested = new Promise<string>(resolve => {
         requestDrain = resolve;
     });
 
-    const noteDecision = (decision: Decision): void => {
+    const recordDecision = (decision: Decision): void => {
         decisions.push(decision);
         log.write("info", "decision", { ...decision });
         meter.record(`decisionUs.${decision.kind}`, decision.durationUs);
@@ -226,7 +229,7 @@
         daemonId: sessionId,
         mayAct: session.mayAct,
         policyOf: configuration.policyOf,
-        onDecision: noteDecision,
+        onDecision: recordDecision,
         report,
         leaseMs: settings.leaseMs,
         pollWaitMs: settings.pollWaitMs,
@@ -364,7 +367,7 @@
         configuration: configuration.inForce,
         mayAct: session.mayAct,
         vms: () => membership.listing().vms,
-        accepts: () => !isDraining,
+        acceptsJobs: () => !isDraining,
         call,
         callAll,
     });
@@ -605,10 +608,10 @@
         }),
         slots,
         router,
-        noteDecision,
+        recordDecision,
         callAll,
         call,
-        drainAsked,
+        drainRequested,
         teamUse,
     };
 };
--- a/packages/puffinarch/src/core/outcomes.ts
+++ b/packages/puffinarch/src/core/outcomes.ts
@@ -83,6 +83,7 @@
  * Returns the journal record for an ended attempt.
  *
  * @example
- * const record = recordFor(task, report, { nowMs, workloadClass, result: {} });
+ * const record = recordForOutcome(task, report, { nowMs, workloadClass, result: {} });
  */
-export const recordFor: OutcomeHandler = (task, report, context) => handlers[report.outcome](task, report, context);
+export const recordForOutcome: OutcomeHandler = (task, report, context) =>
+    handlers[report.outcome](task, report, context);
--- a/packages/puffinarch/src/core/snapshots.ts
+++ b/packages/puffinarch/src/core/snapshots.ts
@@ -102,6 +102,6 @@
  * fails are left in the table, without an error.
  *
  * @example
- * await forgetRows(options, ["job/load-in-7"]);
+ * await deleteHomeRows(options, ["job/load-in-7"]);
  */
-export const forgetRows = deleteFencedRows;
+export const deleteHomeRows = deleteFencedRows;
--- a/packages/puffinarch/src/puffinarch.ts
+++ b/packages/puffinarch/src/puffinarch.ts
@@ -42,7 +42,7 @@
     journalKey,
     type JournalOptions,
     replay,
-    type Replayed,
+    type ReplayResult,
     type RowClaim,
 } from "./internal.js";
 export { createLedger, type Ledger, type LedgerWorker } from "./internal.js";
@@ -53,9 +53,9 @@
     sessionIdOf,
     type VersionedUnit,
 } from "./internal.js";
-export { type Answers, createNode, type Node, type NodePorts } from "./internal.js";
+export { type CallAllResult, createNode, type Node, type NodePorts } from "./internal.js";
 export { defaultNodeSettings, type NodeSettings } from "./internal.js";
-export { type OutcomeContext, recordFor } from "./internal.js";
+export { type OutcomeContext, recordForOutcome } from "./internal.js";
 export { createOwnership, type Ownership, type OwnershipOptions, type UnitHandler } from "./internal.js";
 export { createPlacer, type Placer, type PlacerOptions, type ReservedTask } from "./internal.js";
 export { createQuarantine, type Quarantine, type QuarantineOptions, type QuarantineState } from "./internal.js";
@@ -74,7 +74,13 @@
     type UpstreamState,
     upstreamStates,
 } from "./internal.js";
-export { forgetRows, type LoadedSnapshot, loadSnapshot, saveSnapshot, type SaveSnapshotOptions } from "./internal.js";
+export {
+    deleteHomeRows,
+    type LoadedSnapshot,
+    loadSnapshot,
+    saveSnapshot,
+    type SaveSnapshotOptions,
+} from "./internal.js";
 export { createTaskQueue, type QueueItem, shapeKey, type TaskQueue } from "./internal.js";
 export { correctedSize, remediesFor, type Remedy, type UsedAttempt } from "./internal.js";
 export { applyReport, type WorkerReportOptions } from "./internal.js";
--- a/packages/puffinarchd/src/daemon.ts
+++ b/packages/puffinarchd/src/daemon.ts
@@ -184,7 +184,7 @@
         await app.close();
     };
 
-    void node.drainAsked.then(reason => {
+    void node.drainRequested.then(reason => {
         log.write("info", "drainAsked", { reason });
         stopping ??= stop();
         return stopping;
--- a/packages/puffinarchd/src/main.ts
+++ b/packages/puffinarchd/src/main.ts
@@ -32,7 +32,7 @@
     };
     process.on("SIGTERM", () => stop("SIGTERM"));
     process.on("SIGINT", () => stop("SIGINT"));
-    void daemon.node.drainAsked.then(() => stop("drain"));
+    void daemon.node.drainRequested.then(() => stop("drain"));
     await daemon.started;
     log.write("info", "ready", { daemonId: daemon.node.sessionId() });
 };
--- a/packages/puffinarchd/src/proxy.ts
+++ b/packages/puffinarchd/src/proxy.ts
@@ -210,7 +210,7 @@
 
     const recordRoute = (request: CallerRequest, route: Route, startedAtMs: number): void => {
         const toSlot = route.kind === "slot";
-        node.noteDecision({
+        node.recordDecision({
             atMs: clock.nowMs(),
             daemonId: node.sessionId(),
             kind: "routing",
--- a/packages/puffinarchd/src/rpc/configurationServices.ts
+++ b/packages/puffinarchd/src/rpc/configurationServices.ts
@@ -120,7 +120,7 @@
         };
     },
     deleteConfiguration: async ({ version }) => {
-        await node.configuration.forget(version);
+        await node.configuration.deleteVersion(version);
         return {};
     },
     getConfigurationStatus: async () => {
