--- a/features/crashing.feature
+++ b/features/crashing.feature
@@ -1,12 +1,10 @@
 Feature: Tasks that crash their workers
 
-    # Users saw their workers go down, four to eight of forty at any moment, for as long as a job lasted that could never be
-    # done: a task of it crashed each worker that started it, some milliseconds after the start. The worker was back 3.4 s later
-    # under another id; its runs were lost with its former life, and 0.05 s later the task was placed on the next one. What is
-    # lost with its worker has no end, so that nothing was counted: the task had been started 30 to 60 times, and each time all
-    # that ran beside it went too. The owner's lines of the lost runs showed it: every one of them lost with "otherIncarnation", no end of
-    # the task ever listed, and one owner all the while.
-    Scenario Outline: A task that has crashed three workers is started twice more at the most, a job of steps "<steps>"
+    # Guards against a task that crashes each worker that starts it, some milliseconds after the start, and is started 30 to
+    # 60 times: 4 to 8 of 40 workers are down for as long as its job lasts. A run that is lost with its worker has no listed
+    # end, so no attempt was counted. The crashed worker is back 3.4 s later under another ID, its runs are lost as
+    # "otherIncarnation", 0.05 s later the task is placed on the next worker, and each crash also loses all runs beside it.
+    Scenario Outline: A task that has crashed three workers is started at most twice more, a job of steps "<steps>"
         Given a cell of 3 daemons and 8 workers
         When 1 crashing job of steps "<steps>" is submitted
         And 6 jobs of steps "3, 4 after 0" are submitted
@@ -18,7 +16,7 @@
             | 1 crashing                    |
             | 11 speculative first crashing |
 
-    Scenario Outline: A task under which workers crash is given up, a job of steps "<steps>"
+    Scenario Outline: A task that crashes its workers is given up, a job of steps "<steps>"
         Given a cell of 3 daemons and 8 workers
         When 1 crashing job of steps "<steps>" is submitted
         And 6 jobs of steps "3, 4 after 0" are submitted
@@ -36,9 +34,9 @@
             | 1 long running crashing       | 3       |
             | 1 of 8 cores crashing         | 3       |
 
-    # Nothing tells such a step from any other before its first tasks have been started, so that it may take as many workers
-    # down as they are spread over, once, and three more.
-    Scenario Outline: A step of tasks that all crash their workers is given up, a job of steps "<steps>"
+    # Before its first tasks have been started, such a step looks like any other. It may therefore crash as many workers as
+    # its tasks are spread over, once, and three more.
+    Scenario Outline: A step whose tasks all crash their workers is given up, a job of steps "<steps>"
         Given a cell of 3 daemons and 8 workers
         When 1 crashing job of steps "<steps>" is submitted
         And 6 jobs of steps "3, 4 after 0" are submitted
@@ -68,7 +66,7 @@
             | 4       | 1     | crashing       | 12      |
             | 8       | 5     | crashing       | 24      |
 
-    Scenario Outline: The count of crashes outlasts the fault "<fault>" for <ms> ms at each crash
+    Scenario Outline: The count of crashes survives the fault "<fault>" for <ms> ms at each crash
         Given a cell of 4 daemons and 8 workers
         When 2 crashing jobs of steps "1 crashing" are submitted
         And 2 crashing jobs of steps "2 speculative first crashing" are submitted
@@ -92,7 +90,7 @@
             | owner cut from the workers   | 1500 |
             | owner cut from the store     | 3000 |
 
-    Scenario: What each next job of a kind takes down is no more than its own tasks do
+    Scenario: Each further job whose task crashes its workers crashes no more of them than the first
         Given a cell of 3 daemons and 8 workers
         When 6 crashing jobs of steps "1 crashing" are submitted, 2000 ms apart
         And 6 jobs of steps "3, 4 after 0" are submitted
@@ -101,11 +99,11 @@
         And they have taken 18 workers down at most
         And no promise was broken
 
-    Scenario Outline: Workers that crash of themselves cost no sound job its life, <rounds> times <count> workers <ms> ms apart
+    Scenario Outline: No healthy job is given up when workers crash on their own, <rounds> times <count> workers <ms> ms apart
         Given a cell of 3 daemons and 16 workers
         When 30 jobs of steps "<steps>" are submitted
         And the shard runs for 300 ms
-        And <count> workers crash of themselves <rounds> times, <ms> ms apart
+        And <count> workers crash on their own <rounds> times, <ms> ms apart
         Then all jobs are "<state>" within 30000 ms
         And no job was given up
         And no promise was broken
@@ -118,8 +116,8 @@
             | 2 long running  | running   | 3     | 8      | 1500 |
             | 1 of 8 cores    | completed | 6     | 3      | 4000 |
 
-    # The time of each crash was taken from the silence of its worker, which had begun with the cut, right after the start.
-    Scenario Outline: A sound job is not given up for workers that crash behind cuts after its runs have ended, <cut> ms after the start
+    # Guards against dating a crash by the silence of its worker, which begins with the cut, right after the start.
+    Scenario Outline: A healthy job is not given up when its workers crash after its runs have ended, cut off since <cut> ms after the start
         Given a cell of 3 daemons and 3 workers that start again under their IDs 600 ms after a crash
         When 1 jobs of steps "1" are submitted
         And the worker of the newest start is cut off <cut> ms after it, until it has crashed 2500 ms after it, 3 times
@@ -131,7 +129,7 @@
             | 50  |
             | 200 |
 
-    Scenario Outline: A run that is lost and not crashed counts for nothing, by "<fault>"
+    Scenario Outline: A run that is lost without a crash is not counted as a crash, by "<fault>"
         Given a cell of 3 daemons and 6 workers
         When 12 jobs of steps "2 long running" are submitted
         And the shard runs for 2000 ms
@@ -146,52 +144,54 @@
             | workers cut until their entries lapsed  |
             | owner cut from the workers              |
 
-    # A start of such a task is sent once. Where that order got lost, its run held its room and its task until the lease was over that
-    # the order would have brought, though a look under a higher token proves at once that this incarnation will not carry it out, and
-    # its ticket that no other will.
-    Scenario: A task under which a worker crashed is started again soon after an order for it got lost
+    # After a crash, a start of the task is sent only once. If that order was lost, its run kept its room and its task until
+    # the end of the lease that the order would have brought. A look with a higher token proves immediately that this
+    # incarnation will not carry the order out, and the ticket ensures that no other incarnation will.
+    Scenario: A task whose worker crashed is started again soon after an order for it was lost
         Given a cell of 3 daemons and 3 workers that check tickets and start again under their IDs 3300 ms after a crash
         When 1 jobs of steps "1" are submitted
         And the shard runs for 300 ms
-        And 1 workers crash of themselves 1 times, 50 ms apart
-        And orders get lost until a start is given up, 8000 ms at the most
+        And 1 workers crash on their own 1 times, 50 ms apart
+        And orders are lost until a start is given up, for at most 8000 ms
         Then a task is started within 2000 ms
         And all jobs are "completed" within 8000 ms
         And no promise was broken
 
-    # The first task was tried first each time, and the others stood until the job had failed.
-    Scenario: Tasks of a step under which a worker crashed do not wait for one of them that fails by itself
+    # Guards against retrying the first task every time while the other tasks wait until the job has failed.
+    Scenario: After a crash, tasks of a step do not wait for a task of the step that fails on its own
         Given a cell of 3 daemons and 1 workers that start again under their IDs 600 ms after a crash
         When 1 jobs of steps "3 first failing" are submitted
         And the worker of the newest start crashes soon after it, 1 times
         Then 2 tasks are done within 5000 ms
 
-    # Each task of a step that lasts counts as lost once it has stood for 3 s. They waited for a worker of their own one after the other, so
-    # that the last of four stood for 9 s.
-    Scenario: Tasks that last wait for their trials at the same time
+    # A long-running task counts as lost once it has waited for 3 s. If tasks wait for a worker of their own one after
+    # another, the last of four waits for 9 s.
+    Scenario: Long-running tasks wait for their trials at the same time
         Given a cell of 3 daemons and 6 workers that start again under their IDs 600 ms after a crash
         When 6 jobs of steps "1 long running of 5 cores" are submitted
         And the shard runs for 1000 ms
         And 1 jobs of steps "4 long running of 3 cores" are submitted
         And the shard runs for 1000 ms
-        And 2 workers crash of themselves 4 times, 1500 ms apart
+        And 2 workers crash on their own 4 times, 1500 ms apart
         And the shard runs for 3000 ms
         Then 10 tasks run
         And no job was given up
 
-    # A sound job was given up: one of the three crashes that were counted for its task belonged to a start that no worker had carried out.
-    Scenario: A start that was lost with its worker does not give a sound job up
+    # Guards against giving up a healthy job when one of the three crashes counted for its task belongs to a start that no
+    # worker had carried out.
+    Scenario: A healthy job is not given up because a start was lost when its worker crashed
         Given a cell of 3 daemons and 4 workers
         When 1 jobs of steps "1" are submitted
-        And the first start is lost with its worker as the owner is killed
+        And the first start is lost because its worker crashes as the owner is killed
         And the worker of the newest start crashes soon after it, 2 times
         Then all jobs are "completed" within 20000 ms
         And no job was given up
         And no promise was broken
 
-    # One more run by itself is asked for each crash under a start that no worker had confirmed, five starts in all at the most.
+    # Each crash under a start that no worker had confirmed demands one more run alone on a worker, up to five starts in
+    # all.
     Scenario Outline: A job <what> given up after the crashes "<crashes>"
-        When workers crash under a task, "<crashes>"
+        When workers crash while they run a task, "<crashes>"
         Then its job <what> given up
 
         Examples:
@@ -208,11 +208,12 @@
             | possible, possible, possible, confirmed, unconfirmed           | isn't |
             | possible, possible, possible, possible, possible               | isn't |
 
-    # An incarnation carried a late order out, crashed by it and was replaced, and nobody looked in between: that crash counted for no task.
-    Scenario Outline: Crashes that nobody saw keep a task that crashes its workers from being started on and on, let go of by <by>
+    # An incarnation carries out a late order, crashes because of it and is replaced before any look reaches it, so that its
+    # crash was counted for no task.
+    Scenario Outline: A task that crashes its workers is given up even if no look notices the crashes, released after <by>
         Given a cell of 3 daemons and 4 workers that start again under their IDs 50 ms after a crash
         When 1 crashing job of steps "1 crashing" is submitted
-        And a start is carried out late by an incarnation that crashes unseen, 3 times, and let go of by <by>
+        And a start is carried out late by an incarnation that crashes between looks, 3 times, and its run is released after <by>
         Then the crashing job is "failed" within 20000 ms
         And no promise was broken
 
@@ -221,11 +222,11 @@
             | a look               |
             | the end of its lease |
 
-    # Only the order of events is the same: its workers crashed of themselves.
-    Scenario Outline: Crashes that nobody saw cost no sound job its life, let go of by <by>
+    # The same order of events as above, but these workers crash on their own.
+    Scenario Outline: No healthy job is given up because of crashes that no look noticed, <times> times, released after <by>
         Given a cell of 3 daemons and 4 workers that start again under their IDs 50 ms after a crash
         When 1 jobs of steps "1" are submitted
-        And a start is carried out late by an incarnation that crashes unseen, <times> times, and let go of by <by>
+        And a start is carried out late by an incarnation that crashes between looks, <times> times, and its run is released after <by>
         Then all jobs are "completed" within 20000 ms
         And no job was given up
 
@@ -235,10 +236,10 @@
             | a look               | 6     |
             | the end of its lease | 3     |
 
-    # Such a task was sent to a worker that had just lost an order for it, and both orders came late: two incarnations of the worker crashed that
-    # no look had met, and nobody counted them.
-    Scenario Outline: A task under which <crashes> workers crashed <what> run on a worker that lost an order <ms> ms ago
-        When <crashes> workers have crashed under a task, and a worker lost its order <ms> ms ago
+    # A task that crashes its workers was sent to a worker that had just lost an order for it. Both orders arrived late and
+    # crashed two incarnations of the worker that no look had reached, so that neither crash was counted.
+    Scenario Outline: A task that crashed <crashes> workers <what> run on a worker that left an order unanswered <ms> ms ago
+        When <crashes> workers have crashed while they ran a task, and a worker left an order unanswered <ms> ms ago
         Then the task <what> run there
 
         Examples:
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -1,26 +1,23 @@
-Feature: An owner that is busy is not lost
+Feature: A busy owner is not taken for lost
 
-    # What users saw: standing tasks whose leases had run out stayed away for up to 50 s although workers had room; after
-    # all daemons had come back, callers were refused for 15 s and more, while daemons became ready and unready by turns.
-    # Order of events: an owner is lost; its successor looks at all of its 350 workers at once, and for a second or more its
-    # processor does nothing else; its peers' pings wait behind the answers and time out; a peer takes it for lost and claims
-    # the shard, begins the same work anew, and is taken for lost in turn. Where an owner is left in office, the answers that
-    # it reads too late make it take sound workers for silent: it renews no lease there, so that what runs ends.
-    # Cause: silence is taken for a loss, though it comes from work that each takeover begins anew; nothing bounds that work
-    # or how often owners follow one another.
-    # Evidence: with the former order of candidates, the log of a day with the same order of events on 32 daemons and 350
-    # workers shows seven owners within 15 s; each of the five weak ones was replaced 0.6 to 1.4 s after its claim, four as
-    # "ownerSilent", while it read answers. Once strong VMs came first it had none such; with weak VMs only it goes on.
-    Scenario Outline: A new owner that is busy with its first looks keeps the shard, later ones cost <look> ms
+    # Guards against a cascade of takeovers under load. A new owner looks at all of its 350 workers at once, which occupies
+    # its processor for a second or more. Pings from its peers wait behind the answers of the workers and time out, so a
+    # peer takes the owner for lost, claims the shard, repeats the same work and is taken for lost in turn. An owner that
+    # stays in office but reads answers too late takes healthy workers for silent and stops renewing their leases, which
+    # ends the running tasks. Seen on 32 daemons and 350 workers: seven owners within 15 s, each weak one replaced 0.6 to
+    # 1.4 s after its claim; waiting tasks did not run for up to 50 s although workers had room, and callers were refused
+    # for 15 s and more after all daemons had come back. Preferring strong VMs as owners avoids this only where there are
+    # strong VMs.
+    Scenario Outline: A new owner that is busy with its first looks keeps the shard, with later looks that cost <look> ms
         Given a cell of 12 daemons and 350 workers whose first looks cost a daemon 6 ms, later ones <look> ms and pings 0.5 ms
         When 20 jobs of steps "20 long running" are submitted
         And the shard runs for 8000 ms
         Then 400 tasks run
         When the fault "owner killed" comes
         And the shard runs for 15000 ms
-        Then the shard has had 1 owners at most since
+        Then the shard has had at most 1 owners since
         And 400 tasks run
-        And no run has lapsed
+        And no run was ended by an expired lease
         And no promise was broken
 
         Examples:
@@ -28,19 +25,19 @@
             | 1.5  |
             | 2.2  |
 
-    Scenario: An owner that reads its answers too late takes no worker for silent
+    Scenario: An owner that reads answers late does not take its workers for silent
         Given a cell of 1 daemons and 350 workers whose first looks cost a daemon 6 ms, later ones 5 ms and pings 0.5 ms
         When 20 jobs of steps "20 long running" are submitted
         And the shard runs for 30000 ms
         Then 400 tasks run
-        And no run has lapsed
+        And no run was ended by an expired lease
         And no promise was broken
 
-    # Each of these looks costs the daemon and the worker work that nobody needs: the shard has another owner.
-    Scenario: An owner that is replaced during its first looks sends none of those that wait for a turn
+    # Each such look costs the daemon and the worker work for nothing, because the shard already has another owner.
+    Scenario: An owner that is replaced during its first looks sends none of the queued looks
         When the owner of 200 workers is replaced at once
         Then it has looked at 24 workers
 
-    Scenario: A worker that is silent for good is not renewed for long by an owner that is late
+    Scenario: Leases on a worker that never answers again expire in time even if the owner runs late
         When an owner that is 60 ms late looks at a worker that never answers again
-        Then the leases there are surely over 10500 ms after its last answer
+        Then its leases have certainly expired 10500 ms after its last answer
--- a/features/restartedWorkers.feature
+++ b/features/restartedWorkers.feature
@@ -1,17 +1,15 @@
 Feature: Workers that start again under their IDs
 
-    # Users saw tasks run a second time that had ended, and others that never ran though the workers had room. Their workers had
-    # crashed and started again, under the IDs that they had, within a second: what such a worker ends is numbered from 1
-    # again. The owner kept by the ID up to which number it had taken ends, and up to which they were durable. It passed the first
-    # ends of the new life over; they stayed listed, so that their runs counted as live, and what waited for them stood. Once a
-    # higher number was acknowledged, the worker forgot them all: their runs were then neither at work nor ended, taken for
-    # gone and started again. The owner's lines showed it: no "runEnded" for 17 tasks of a step that had run to their ends, then
-    # "runGone" for all 17 within 17 ms of the worker's 18th end, and no line about the crash but "workerSilent".
-    Scenario Outline: What has ended on a worker that started again is not started again
+    # Guards against confusing the ends listed by two incarnations of a worker. A worker that starts again under its ID
+    # numbers its ends from 1 again. If the owner keeps the acknowledged end number by worker ID, it skips the first ends of
+    # the new incarnation: their runs count as live, and whatever waits for them never runs. Once a higher number is
+    # acknowledged, the worker forgets all these ends, and the owner takes the runs for gone and starts the tasks a second
+    # time.
+    Scenario Outline: Tasks that have ended on a restarted worker are not started again, workers back after <ms> ms
         Given a cell of 3 daemons and 4 workers that start again under their IDs <ms> ms after a crash
         When 12 jobs of steps "3" are submitted
         Then all jobs are "completed" within 8000 ms
-        When 4 workers crash of themselves 1 times, 1500 ms apart
+        When 4 workers crash on their own 1 times, 1500 ms apart
         And 12 jobs of steps "3" are submitted
         Then all jobs are "completed" within 20000 ms
         And no promise was broken
@@ -23,11 +21,11 @@
             | 3300 |
             | 7000 |
 
-    Scenario Outline: Accepted work goes on where a worker that started again ends less than it had ended before
+    Scenario Outline: Jobs complete when a restarted worker ends fewer runs than before, back after <ms> ms, steps "<steps>"
         Given a cell of 3 daemons and 2 workers that start again under their IDs <ms> ms after a crash
         When 12 jobs of steps "3" are submitted
         Then all jobs are "completed" within 8000 ms
-        When 2 workers crash of themselves 1 times, 4000 ms apart
+        When 2 workers crash on their own 1 times, 4000 ms apart
         And 1 jobs of steps "<steps>" are submitted
         Then all jobs are "completed" within 8000 ms
         And no promise was broken
@@ -38,9 +36,10 @@
             | 600  | 2, 1 after 0 |
             | 3300 | 2, 1 after 0 |
 
-    # What crashes its workers was started on and on again: an answer under the same ID counted as proof that none had crashed, a
-    # worker that was listed again had no former life, and a successor took the runs of the life before for runs of this one.
-    Scenario Outline: A task that crashes its workers is given up where these start again under their IDs, after "<fault>"
+    # Guards against starting a task that crashes its workers without limit: an answer under the same ID counted as proof
+    # that the worker had not crashed, a worker that was listed again had no record of a former incarnation, and a new owner
+    # attributed the runs of the previous incarnation to the current one.
+    Scenario Outline: A task that crashes its workers is given up when these start again under their IDs, after "<fault>"
         Given a cell of 4 daemons and 8 workers that start again under their IDs <ms> ms after a crash
         When 2 crashing jobs of steps "1 crashing" are submitted
         And 2 crashing jobs of steps "2 speculative first crashing" are submitted
@@ -62,9 +61,9 @@
             | workers not listed         | 9000 | 7000 |
             | owner cut from the workers | 1500 | 600  |
 
-    # A worker that stays away for longer than its lease is known to have crashed only once it is back. Its crash counted for nothing
-    # where the owner had changed meanwhile, and the task was started once more each time.
-    Scenario Outline: A crash that shows after a change of owner is counted, workers back after <ms> ms
+    # The crash of a worker that stays away for longer than its lease is known only once the worker is back. If the owner
+    # changed meanwhile, the crash was not counted and the task was started once more each time.
+    Scenario Outline: A crash that is detected after a change of owner is counted, workers back after <ms> ms
         Given a cell of 4 daemons and 8 workers that start again under their IDs <ms> ms after a crash
         When 1 crashing job of steps "1 crashing" is submitted
         And the shard runs for 6500 ms
@@ -78,18 +77,19 @@
             | 7000 |
             | 8000 |
 
-    # A wave of upkeep stood with its first VMs for down: they had come back under the IDs that their workers had before.
-    Scenario: Workers that have had their upkeep take tasks again under their IDs, and the wave goes on
+    # Guards against a wave that stops after its first VMs: these counted as down because they had come back under the
+    # former IDs of their workers.
+    Scenario: Workers take tasks again under their IDs after their upkeep, and the wave continues
         Given a cell of 3 daemons and 4 workers that start again under their IDs 600 ms after a crash
         When the operator asks for upkeep of 4 VMs, 2 at once, within 20000 ms
         Then the wave is shown as "completed" within 20000 ms
         When the shard runs for 4000 ms
         And 6 jobs of steps "4" are submitted
         Then all jobs are "completed" within 8000 ms
-        And each of the 4 VMs had its upkeep once, with 2 down at once at the most
+        And each of the 4 VMs had its upkeep once, with at most 2 down at the same time
         And no promise was broken
 
-    Scenario Outline: A wave outlasts the fault "<fault>" where VMs are back under the IDs of their workers
+    Scenario Outline: A wave completes in spite of the fault "<fault>" when VMs are back under the IDs of their workers
         Given a cell of 4 daemons and 6 workers that start again under their IDs 600 ms after a crash
         When 4 jobs of steps "3, 4 after 0" are submitted
         And the shard runs for 2500 ms
@@ -99,7 +99,7 @@
         And the shard runs for 9000 ms
         And the fault goes
         Then the wave is shown as "completed" within 50000 ms
-        And each of the 6 VMs had its upkeep once, with 2 down at once at the most
+        And each of the 6 VMs had its upkeep once, with at most 2 down at the same time
         And all jobs are "completed" within 20000 ms
         And no promise was broken
 
@@ -113,28 +113,29 @@
             | feeds go silent                   |
             | half of the workers crash and are back |
 
-    # Its entry in the list is that of the life before until its first heartbeat.
-    Scenario: A worker that starts again with less room is not started on with the room that it had
+    # Until the first heartbeat of a restarted worker, the list holds the entry of its previous incarnation.
+    Scenario: A worker that starts again with less capacity gets no tasks for its former capacity
         Given a cell of 3 daemons and 3 workers that start again under their IDs 100 ms after a crash, with 2 cores
         When 8 jobs of steps "3 for 800 ms" are submitted
         And the shard runs for 700 ms
-        And 2 workers crash of themselves 2 times, 2000 ms apart
+        And 2 workers crash on their own 2 times, 2000 ms apart
         And 8 jobs of steps "3 for 800 ms" are submitted
         Then all jobs are "completed" within 30000 ms
         And no promise was broken
 
-    # A look that meets the next life would make it forget ends that nobody has read.
-    Scenario: Ends are acknowledged right after an answer only, and once
+    # A look that reaches the next incarnation with an acknowledgement for the previous one would make it forget unread
+    # ends.
+    Scenario: Ends are acknowledged once, and only in a look right after an answer
         When ends up to 57 are durable and looks are "answered, lost, lost, answered, answered, answered"
         Then they acknowledge "0, 57, 0, 0, 57, 0"
 
-    # A stop that makes the next life refuse a late start takes the way that made the start late, and came seconds after it: tasks
-    # were started again after their ends had been acknowledged.
-    Scenario: What was sent before a look was lost is refused by whichever life takes the next look
+    # A stop that would make the next incarnation refuse a late start is delayed on the same path as the start and arrives
+    # seconds after it, so that tasks were started again after their ends had been acknowledged.
+    Scenario: Orders sent before a lost look are refused by whichever incarnation takes the next look
         When looks are "answered, lost, answered, lost, lost, answered" and the owner commits before each
         Then the tokens sent are "7, 7, 9, 9, 11, 12"
 
-    Scenario Outline: An order that was overtaken by a look of the same owner is sent again, and the owner <what> the shard
+    Scenario Outline: An order is refused because a look overtook it, and the owner <what> the shard
         When a start is refused as fenced after a look was lost, and the owner's newest token is <newest>
         Then the tokens sent are "<tokens>"
         And the owner <what> the shard
@@ -144,19 +145,21 @@
             | 8      | 7, 8   | keeps |
             | 7      | 7      | loses |
 
-    # Each copy of a start that came late could be carried out by another incarnation of its worker: tasks ran again after their ends
-    # had been acknowledged, and crashing ones took one incarnation down after the other.
-    Scenario: A start that gets no answer is sent once, and a look under the next token settles it
+    # Each late copy of a start may be carried out by another incarnation of the worker: tasks ran again after their ends
+    # had been acknowledged, and crashing tasks took down one incarnation after another.
+    Scenario: A start that gets no answer is sent once, and a look with the next token settles it
         When a start gets no answer from a worker that answers looks, and the owner commits then
-        Then what is sent is "start 7, look 8, look 8"
+        Then the calls sent are "start 7, look 8, look 8"
 
-    # A slow worker that answers after 150 ms would get one start at a time, some pauses apart, though it carries all of them out.
-    Scenario: A worker whose look lists a start without an answer has lost no order
+    # Unless the look settles the start, a slow worker that answers after 150 ms gets only one start at a time, several
+    # pauses apart, although it carries out all of them.
+    Scenario: A look that lists a run whose start got no answer proves that the order arrived
         When a start got no answer, and the next look lists its run
         Then the worker takes any number of starts again
 
-    # A life that was back before a look could fail got one with the token of all that had been sent before, and answered it after 1 s.
-    Scenario Outline: A look after <ms> ms without one carries the tokens "<tokens>"
+    # Without a newer token, an incarnation that is back before a look could fail gets a look with the token of all earlier
+    # orders, which does not make it refuse them, and answers it only after 1 s.
+    Scenario Outline: Looks that are <ms> ms apart carry the tokens "<tokens>"
         When the ends of a look take <ms> ms to be durable and the owner commits meanwhile
         Then the tokens sent are "<tokens>"
 
@@ -165,8 +168,8 @@
             | 8   | 7, 7, 7 |
             | 200 | 7, 8, 9 |
 
-    # Orders came within 0.1 s of a life's beginning and 0.1 s before the owner's next look.
-    Scenario Outline: A worker that was down for <ms> ms is soon looked at where <starts> orders may be under way to it
+    # Late orders arrived within 0.1 s of the start of an incarnation, and 0.1 s before the owner's next look.
+    Scenario Outline: A worker that was down for <ms> ms is looked at soon when <starts> orders to it may still arrive
         When a worker is down for <ms> ms, and <starts> starts there got no answer
         Then a look reaches its next incarnation within <within> ms
 
@@ -178,9 +181,9 @@
             | 590   | 0      | 250    |
             | 15290 | 1      | 250    |
 
-    # A successor looked at such a worker each 250 ms, and orders of its predecessor were carried out in between.
-    Scenario Outline: A worker that was down for <ms> ms is soon looked at where orders of a former owner may be under way to it
-        When a worker is down for <ms> ms that has a former owner's run which no look has shown
+    # A new owner looked at such a worker every 250 ms, and orders of the former owner were carried out in between.
+    Scenario Outline: A worker that was down for <ms> ms is looked at soon when orders of a former owner to it may still arrive
+        When a worker that has a former owner's run which no look has listed is down for <ms> ms
         Then a look reaches its next incarnation within 10 ms
 
         Examples:
@@ -188,23 +191,24 @@
             | 95  |
             | 595 |
 
-    # Tickets hold for one life of a worker. Each start that showed one of the life before was refused, and placed a second time.
-    Scenario: No start shows the ticket of a life that is over
+    # A ticket is valid for one incarnation of a worker. Each start with a ticket of the previous incarnation was refused,
+    # and its task was placed a second time.
+    Scenario: No start carries the ticket of a former incarnation
         Given a cell of 3 daemons and 4 workers that check tickets and start again under their IDs 200 ms after a crash
         When 8 jobs of steps "3, 40 after 0" are submitted
         And the shard runs for 1500 ms
-        And 4 workers crash of themselves 1 times, 3000 ms apart
+        And 4 workers crash on their own 1 times, 3000 ms apart
         Then all jobs are "completed" within 60000 ms
         And no start was refused for its ticket
         And no promise was broken
 
-    # Crashes of many workers at one moment speak for a cause outside of any task. A worker that was back had never fallen, in the
-    # eyes of those that came back after it.
-    Scenario Outline: Workers that crash of themselves cost no sound job its life where they start again under their IDs
+    # Crashes of many workers at the same moment indicate a cause outside of any task. A worker that had come back was not
+    # counted among the crashed ones by the workers that came back after it, so that the cause was attributed to tasks.
+    Scenario Outline: No healthy job is given up when workers crash on their own and start again under their IDs
         Given a cell of 3 daemons and 16 workers that start again under their IDs <ms> ms after a crash
         When 30 jobs of steps "<steps>" are submitted
         And the shard runs for 300 ms
-        And <count> workers crash of themselves <rounds> times, <apart> ms apart
+        And <count> workers crash on their own <rounds> times, <apart> ms apart
         Then all jobs are "<state>" within 40000 ms
         And no job was given up
         And no promise was broken
--- a/features/shard.feature
+++ b/features/shard.feature
@@ -7,24 +7,24 @@
         And no promise was broken
         And every task ran 1 time
 
-    Scenario: What follows from a change shares its commit
+    Scenario: The consequences of a change are written in the same commit
         Given a cell of 3 daemons and 4 workers
         When 1 jobs of steps "1, 1 after 0" are submitted
         Then all jobs are "completed" within 10000 ms
-        And the shard's owner has written 4 batches at most
+        And the shard's owner has written at most 4 batches
 
-    Scenario: Commits that follow one another at once are one chain
+    Scenario: Commits that follow one another immediately are not taken for those of another owner
         When 40 jobs are committed, each again as soon as it is durable
         Then 40 were made durable twice, and no batch was taken for another owner's
 
-    Scenario: Jobs go on while each transaction of the store takes 240 ms
+    Scenario: Jobs are processed while each transaction of the store takes 240 ms
         Given a cell of 3 daemons and 4 workers
         When the fault "store slow" comes
         And the shard runs for 1000 ms
         And 8 jobs of steps "1, 1 after 0, 1 after 1" are submitted
         Then all jobs are "completed" within 4500 ms
 
-    Scenario Outline: The owner goes on soon after an outage of the store, and nobody replaces it, after <ms> ms
+    Scenario Outline: The owner resumes soon after an outage of the store of <ms> ms and is not replaced
         Given a cell of 4 daemons and 4 workers
         When the fault "store hangs" comes
         And 2 jobs of steps "2" are submitted
@@ -44,13 +44,13 @@
             | 5600 |
             | 6100 |
 
-    Scenario: The same id through two daemons is one job
+    Scenario: A job that is submitted several times under one ID runs once
         Given a cell of 3 daemons and 4 workers
         When the job "00000000000000a1" of steps "2" is submitted 3 times
         Then all jobs are "completed" within 10000 ms
         And every task ran 1 time
 
-    Scenario Outline: Jobs outlast the fault "<fault>"
+    Scenario Outline: Jobs complete in spite of the fault "<fault>"
         Given a cell of 3 daemons and 4 workers
         When 6 jobs of steps "3, 4 after 0" are submitted
         And the shard runs for 900 ms
@@ -119,15 +119,15 @@
             | owner cut from its peers, the store          | 2000 |
             | owner cut from its peers, the store, workers | 2000 |
 
-    Scenario: An end is acknowledged only once it is durable, also when it is listed again
+    Scenario: An end is acknowledged only once it is durable, even if the worker lists it again
         Given a cell of 1 daemons and 2 workers
         When 2 jobs of steps "2" are submitted
         And the shard runs for 300 ms
         And the fault "store hangs" comes
         And the shard runs for 3000 ms
-        Then no end that was listed while the store was away is acknowledged
+        Then no end that was listed while the store was unavailable is acknowledged
 
-    Scenario: A cancelled job runs no longer
+    Scenario: Cancelling a job stops its tasks
         Given a cell of 3 daemons and 4 workers
         When 2 jobs of steps "3 long running" are submitted
         And the shard runs for 2000 ms
@@ -136,14 +136,14 @@
         Then nothing runs
         And all jobs are "cancelled" within 1000 ms
 
-    Scenario: A gang starts under one run number
+    Scenario: All members of a gang start with the same run number
         Given a cell of 3 daemons and 4 workers
         When 2 jobs of steps "6 gang" are submitted
         Then all jobs are "completed" within 15000 ms
         And no promise was broken
         And all members of a gang had the same run number
 
-    Scenario: A task that lasts is started again after its worker crashed
+    Scenario: A long-running task is started again after its worker crashed
         Given a cell of 3 daemons and 4 workers
         When 1 jobs of steps "4 long running" are submitted
         And the shard runs for 2000 ms
@@ -189,7 +189,7 @@
             | 3    |
             | 4    |
 
-    Scenario: A task waits for workers that do not answer rather than use up its attempts on one that failed it
+    Scenario: A task waits for workers that do not answer instead of using up its attempts on a worker where it failed
         Given a cell of 3 daemons and 4 workers
         When the fault "all workers cut but the first" comes
         And the fault "worker fails everything" comes
@@ -199,7 +199,7 @@
         And the fault goes
         Then all jobs are "completed" within 15000 ms
 
-    Scenario: Room of a cancelled job's tasks is held until they have ended, also by the next owner
+    Scenario: The room of a cancelled job's tasks stays reserved until they have ended, also under the next owner
         Given a cell of 3 daemons and 2 workers
         When 2 jobs of steps "8 long running" are submitted
         And the shard runs for 2000 ms
@@ -208,7 +208,7 @@
         And the shard runs for 5000 ms
         Then no promise was broken
 
-    Scenario: Tasks of a worker that is cut off for good run elsewhere once its lease is over
+    Scenario: Tasks of a worker that stays cut off run elsewhere once its lease has expired
         Given a cell of 3 daemons and 4 workers
         When 6 jobs of steps "3" are submitted
         And the shard runs for 300 ms
@@ -225,14 +225,14 @@
         Then all jobs are "completed" within 9000 ms
         And no promise was broken
 
-    Scenario: A job that no commit has held is refused at once while the store is away
+    Scenario: A job that is not yet part of a commit is refused immediately while the store is unavailable
         Given a cell of 3 daemons and 4 workers
         When the fault "store hangs" comes
         And 3 jobs of steps "2" are submitted
         And the shard runs for 300 ms
         And 3 jobs of steps "2" are submitted
         And the shard runs for 900 ms
-        Then 3 jobs at least were refused
+        Then at least 3 jobs were refused
         And the fault goes
         And all jobs are "completed" within 20000 ms
         And every task ran 1 time
@@ -250,7 +250,7 @@
         And 8 tasks run
         And no promise was broken
 
-    Scenario: A former owner that the store turns away learns of the new one from its peers
+    Scenario: A former owner that cannot reach the store learns of the new owner from its peers
         Given a cell of 4 daemons and 4 workers
         When 2 jobs of steps "3, 4 after 0" are submitted
         And the shard runs for 500 ms
@@ -285,14 +285,14 @@
             | 5750 |
             | 6000 |
 
-    Scenario: A configuration is in force in time although all connections that wait for it have gone silent
+    Scenario: A new configuration takes effect in time although all feed connections have gone silent
         Given a cell of 3 daemons and 4 workers
         When the fault "feeds go silent" comes
-        And the configuration 2 comes
+        And the configuration 2 is published
         And the shard runs for 2800 ms
         Then the configuration 2 is in force on every daemon
 
-    Scenario: A draining worker gets no new task although the connection that waits for its entry has gone silent
+    Scenario: A draining worker gets no new task although the feed connection for its entry has gone silent
         Given a cell of 3 daemons and 4 workers
         When 1 jobs of steps "8 long running" are submitted
         And the shard runs for 1500 ms
@@ -304,7 +304,7 @@
         Then nothing was started on the draining worker after 2800 ms
         And nothing runs on the draining worker
 
-    Scenario: Workers whose entries lapsed with the store and that still answer go on getting tasks
+    Scenario: Workers whose entries expired but that still answer keep getting tasks
         Given a cell of 3 daemons and 4 workers
         When the fault "workers not listed" comes
         And the shard runs for 500 ms
@@ -312,7 +312,7 @@
         Then all jobs are "completed" within 2000 ms
         And no promise was broken
 
-    Scenario Outline: What was surely refused never runs, after "<fault>"
+    Scenario Outline: A job that was definitely refused never runs, after "<fault>"
         Given a cell of 3 daemons and 4 workers
         When the fault "<fault>" comes
         And 12 jobs are submitted once, 150 ms apart
@@ -320,7 +320,7 @@
         And the fault goes
         And the fault "owner killed" comes
         And the shard runs for 8000 ms
-        Then some were surely refused and none of those ran
+        Then some jobs were definitely refused and none of them ran
 
         Examples:
             | fault                                   |
@@ -329,13 +329,15 @@
             | store refuses                           |
             | owner cut from the store                |
 
-    # Its entry of before the outage was used for 2.5 s after a list without it: it had shrunk long before, and its newer entry lapsed too.
-    Scenario: A worker that shrank in an outage of the store, and is listed no more after it, is not started on as it was before
+    # Guards against placing tasks by a stale worker entry: the entry from before the outage stayed in use for 2.5 s after
+    # the store had listed workers without it, although the worker had shrunk long before and its newer entry had expired as
+    # well.
+    Scenario: A worker that shrank during an outage of the store, and is not listed afterwards, gets no tasks for its former capacity
         Given a cell of 3 daemons and 2 workers
         When 4 jobs of steps "4, 8 after 0" are submitted
         And the shard runs for 300 ms
         And the fault "store hangs" comes
-        And a worker shrinks to an eighth, and its entry lapses after 5000 ms
+        And the capacity of a worker shrinks to an eighth, and its entry expires after 5000 ms
         And the shard runs for 7000 ms
         And the fault goes
         And the shard runs for 1900 ms
@@ -343,7 +345,7 @@
         Then all jobs are "completed" within 30000 ms
         And no promise was broken
 
-    Scenario: Workers that were cut off, and whose entries lapsed, take tasks again once they are listed again
+    Scenario: Workers that were cut off and whose entries expired take tasks again once they are listed again
         Given a cell of 3 daemons and 4 workers
         When 1 jobs of steps "4 long running" are submitted
         And the shard runs for 2000 ms
@@ -354,7 +356,7 @@
         Then 4 tasks run
         And no promise was broken
 
-    Scenario: A task that failed on the one worker with room is not kept waiting for one that is full
+    Scenario: A task that failed on the only worker with room is retried there instead of waiting for a full worker
         Given a cell of 3 daemons and 2 workers
         When the fault "worker fails everything" comes
         And 1 jobs of steps "1 long running of 8 cores" are submitted
@@ -366,18 +368,18 @@
         Then 2 tasks run
         And no promise was broken
 
-    Scenario: A call to the advisor waits for a bounded time behind more urgent ones
-        When the advice desk's lane is asked for urgent calls of 100 ms without end, and once for one of a lower priority
+    Scenario: A call to the advisor waits behind more urgent ones for a bounded time only
+        When the advice desk's lane gets urgent calls of 100 ms without end, and one call of a lower priority
         Then the advisor has served the call of the lower priority within 2500 ms
 
-    Scenario: The log says what tasks wait for that have waited for long
+    Scenario: The log states what tasks that have waited for long are waiting for
         Given a cell of 3 daemons and 4 workers
         When the fault "all workers cut" comes
         And 1 jobs of steps "2" are submitted
         And the shard runs for 11000 ms
         Then the log says that the tasks of 1 step wait for "workers", with "silent 4"
 
-    Scenario: A new owner reviews all accepted tasks once its workers are known, also where one of them is silent
+    Scenario: A new owner reviews all accepted tasks once it knows its workers, even if one of them is silent
         Given a cell of 3 daemons and 4 workers
         When 2 jobs of steps "3 long running" are submitted
         And the shard runs for 1000 ms
@@ -385,7 +387,7 @@
         And the shard runs for 3000 ms
         Then the new owner has reviewed the tasks of 2 jobs
 
-    Scenario: A task that lasts is not kept out for long of room that is kept for a step which cannot begin yet
+    Scenario: A long-running task is not kept out for long from room reserved for a step that cannot start yet
         Given a cell of 3 daemons and 4 workers whose tasks take their estimates, with a stretch of 20
         When 1 jobs of steps "1 of 1 cores for 30000 ms" are submitted
         And the shard runs for 1000 ms
@@ -403,9 +405,10 @@
         Then 4 tasks run
         And no promise was broken
 
-    # Callers saw accepted tasks stand for 8 s after orders reached the workers again: a start that got no answer for 2 s was given up, and
-    # its worker got none until 3 s after the end of its leases, though it had answered looks all the while.
-    Scenario: Tasks whose starts got lost run soon after orders reach the workers again
+    # Guards against accepted tasks that wait for 8 s after orders reach the workers again: a start without an answer was
+    # given up after 2 s, and its worker then got no start until 3 s after the end of its leases, although it had answered
+    # all looks.
+    Scenario: Tasks whose starts were lost run soon after orders reach the workers again
         Given a cell of 3 daemons and 3 workers
         When the fault "orders to all workers get lost" comes
         And 3 jobs of steps "1 of 5 cores" are submitted
@@ -414,7 +417,7 @@
         Then all jobs are "completed" within 8500 ms
         And no promise was broken
 
-    Scenario: A task that failed runs elsewhere also while the entries of all workers have just lapsed
+    Scenario: A failed task runs on another worker even if the entries of all workers have just expired
         Given a cell of 3 daemons and 4 workers
         When 1 jobs of steps "60" are submitted
         And the shard runs for 200 ms
@@ -424,8 +427,9 @@
         And the fault goes
         Then all jobs are "completed" within 15000 ms
 
-    # Tasks that last take the room that is kept for a gang, for good, where that leaves the gang too few workers.
-    Scenario: A gang for which room is kept runs in the end though tasks that last are submitted meanwhile
+    # Long-running tasks must not permanently take the room that is reserved for a gang if that leaves the gang too few
+    # workers.
+    Scenario: A gang with reserved room runs eventually even if long-running tasks are submitted meanwhile
         Given a cell of 3 daemons and 6 workers whose tasks take their estimates, with a stretch of 20
         When 1 jobs of steps "3 of 8 cores for 12000 ms" are submitted
         And the shard runs for 1000 ms
@@ -435,7 +439,8 @@
         And the shard runs for 40000 ms
         Then all jobs but those that last are completed
 
-    # Disruptions of workers last 4 to 7 s; the second attempt is spent in the same one, though the other worker is free soon.
+    # Disruptions of a worker last 4 to 7 s. Without this rule the second attempt fails in the same disruption, although the
+    # other worker is free soon.
     Scenario: The last attempt of a task is not spent on the worker that has just failed it
         Given a cell of 3 daemons and 2 workers whose tasks take their estimates, with 2 attempts
         When the fault "worker fails everything" comes
@@ -447,10 +452,11 @@
         And the shard runs for 20000 ms
         Then all jobs but those that last are completed
 
-    # Users saw a job that had been accepted 6 s before answered with "no such job", and one of its tasks ran again half a minute later,
-    # after all VMs had lost power. Its caller had sent it twice while the store was slow and many jobs came: the first was accepted; the
-    # second waited for a batch of its own, which stalled, and was taken back, and the accepted job with it. Its rows stayed.
-    Scenario: A job that was accepted is not taken back with a resend that waits for the store
+    # Guards against an accepted job that is forgotten 6 s later ("no such job") while its rows stay in the store, so that
+    # one of its tasks runs again after a restart of all VMs. The caller sends the job twice while the store is slow: the
+    # first request is accepted; the second waits for a batch of its own, which stalls, and taking it back also removed the
+    # accepted job.
+    Scenario: Taking back a resent job does not remove the job that was accepted first
         When a job is accepted while a resend of it waits for a batch that stalls
         Then both are answered as accepted, and the job is known
 
--- a/features/steps/crashingSteps.ts
+++ b/features/steps/crashingSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about tasks that crash their workers, and about workers that crash on their own. */
+
 import { Then, When } from "@cucumber/cucumber";
 import {
     jobIdOf,
@@ -26,16 +28,19 @@
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
+    /** IDs of the jobs with tasks that crash their workers. */
     readonly jobs: string[];
-    /** Jobs that were shown as failed and then as something else. */
-    readonly revived: Set<string>;
+    /** Jobs that were shown as failed and later in another state. */
+    readonly revivedJobs: Set<string>;
+    /** Whether the job whose task crashed workers was given up. */
     isGivenUp: boolean;
+    /** Whether the task may run on the worker that left its order unanswered. */
     isAllowed: boolean;
     /** The worker that left a start unanswered. */
     lateWorker: string;
 }
 
-/** Ids of jobs whose tasks crash their workers, so that they are told from those of all others. */
+/** First ID of the jobs whose tasks crash their workers, apart from the IDs of all other jobs. */
 const firstCrashingId = 5_001;
 const stepMs = 50;
 const longestWaitMs = 20_000;
@@ -44,10 +49,10 @@
     partOf(
         world,
         "crashing",
-        () => ({ jobs: [], revived: new Set(), isGivenUp: false, isAllowed: false, lateWorker: "" }),
+        () => ({ jobs: [], revivedJobs: new Set(), isGivenUp: false, isAllowed: false, lateWorker: "" }),
     );
 
-const submissionOfOne: JobSubmission = {
+const singleTaskSubmission: JobSubmission = {
     jobId: jobIdOf(1),
     queueKey: testQueue.key,
     dataCentre: "leon-feria",
@@ -56,9 +61,10 @@
     schedule: { startAtMs: 0, intervalMs: 0, repeatCount: 0 },
 };
 
-const oneTask = (): ShardTask => {
-    const [task] = newJob(submissionOfOne, testQueue, { acceptedAtMs: 0, order: 1 }).occurrences.get(0)?.steps[0]?.tasks
-        ?? [];
+const createTask = (): ShardTask => {
+    const [task] =
+        newJob(singleTaskSubmission, testQueue, { acceptedAtMs: 0, order: 1 }).occurrences.get(0)?.steps[0]?.tasks
+            ?? [];
     assert.ok(task !== undefined);
     return task;
 };
@@ -93,8 +99,8 @@
     },
 );
 
-/** Workers that a task crashed. */
-const workersTakenDown = (cell: ShardCell): number =>
+/** Counts the workers that a task has crashed. */
+const countCrashedWorkers = (cell: ShardCell): number =>
     new Set(
         cell.workers.evidence.filter(({ crashesWorkers, how }) => crashesWorkers && how === "crashed")
             .map(({ workerId }) => workerId),
@@ -104,44 +110,44 @@
     "the fault {string} comes at each crash for {int} ms, in the first {int} ms",
     async function(this: ScenarioWorld, names: string, faultMs: number, forMs: number) {
         const cell = cellOf(this);
-        const { jobs, revived } = part(this);
+        const { jobs, revivedJobs } = part(this);
         const failed = new Set<string>();
-        let seen = 0;
-        let mends: (() => void)[] = [];
-        let mendsAtMs = 0;
+        let crashedBefore = 0;
+        let endFaults: (() => void)[] = [];
+        let faultEndsAtMs = 0;
         const endsAtMs = cell.clock.monotonicMs() + forMs;
         while (cell.clock.monotonicMs() < endsAtMs) {
-            const down = workersTakenDown(cell);
-            if (mends.length > 0 && cell.clock.monotonicMs() >= mendsAtMs) {
-                mends.forEach(mend => mend());
-                mends = [];
+            const crashed = countCrashedWorkers(cell);
+            if (endFaults.length > 0 && cell.clock.monotonicMs() >= faultEndsAtMs) {
+                endFaults.forEach(endFault => endFault());
+                endFaults = [];
             }
-            if (down > seen && mends.length === 0) {
-                mends = names.split(", ").map(name => shardFaults[name]?.(cell) ?? assert.fail(`no fault ${name}`));
-                mendsAtMs = cell.clock.monotonicMs() + faultMs;
+            if (crashed > crashedBefore && endFaults.length === 0) {
+                endFaults = names.split(", ").map(name => shardFaults[name]?.(cell) ?? assert.fail(`no fault ${name}`));
+                faultEndsAtMs = cell.clock.monotonicMs() + faultMs;
             }
-            seen = down;
+            crashedBefore = crashed;
             await cell.clock.advance(stepMs);
             for (const [jobId, state] of await cell.statesOf(jobs)) {
                 if (state === "failed") {
                     failed.add(jobId);
                 }
                 else if (failed.has(jobId) && state !== undefined && state !== "unknown") {
-                    revived.add(jobId);
+                    revivedJobs.add(jobId);
                 }
             }
         }
-        mends.forEach(mend => mend());
+        endFaults.forEach(endFault => endFault());
     },
 );
 
 When(
-    "{int} workers crash of themselves {int} times, {int} ms apart",
+    "{int} workers crash on their own {int} times, {int} ms apart",
     async function(this: ScenarioWorld, count: number, rounds: number, apartMs: number) {
         const cell = cellOf(this);
         for (let round = 0; round < rounds; round += 1) {
             const alive = cell.workers.workerIds().filter(workerId => cell.workers.entryOf(workerId) !== undefined);
-            // Those that took up most lately are hit again, so that the same task is hit twice.
+            // The workers with the most runs crash first, so that the same task is hit repeatedly.
             const busy = (workerId: string): number =>
                 cell.workers.evidence.filter(run => run.workerId === workerId && run.endedAtMs === undefined).length;
             cell.crashWorkers(alive.sort((left, right) => busy(right) - busy(left)).slice(0, count));
@@ -150,7 +156,7 @@
     },
 );
 
-/** Moves time in steps of 1 ms, so that what follows comes before anything that the condition leads to. */
+/** Advances time in steps of 1 ms until the condition holds, so that the next action precedes any consequence of it. */
 const advanceUntil = async (cell: ShardCell, holds: () => boolean, what: string): Promise<void> => {
     for (let passedMs = 0; passedMs < longestWaitMs; passedMs += 1) {
         if (holds()) {
@@ -161,7 +167,7 @@
     assert.fail(`${what} within ${longestWaitMs} ms`);
 };
 
-When("the first start is lost with its worker as the owner is killed", async function(this: ScenarioWorld) {
+When("the first start is lost because its worker crashes as the owner is killed", async function(this: ScenarioWorld) {
     const cell = cellOf(this);
     const placed = (): string | undefined => {
         const line = cell.log.find(({ event }) => event === "placed");
@@ -213,26 +219,26 @@
     },
 );
 
-/** Lets the next start go unanswered; gives its worker. Its order is carried out three seconds after it was sent. */
-const loseAnswer = async (cell: ShardCell): Promise<string> => {
-    const linesBefore = cell.log.length;
-    const given = () => cell.log.slice(linesBefore).find(({ event }) => event === "startUnanswered");
+/** Leaves the next start unanswered and returns the ID of its worker, which carries the order out 3 s after it was sent. */
+const delayNextStart = async (cell: ShardCell): Promise<string> => {
+    const logLengthBefore = cell.log.length;
+    const unansweredStart = () => cell.log.slice(logLengthBefore).find(({ event }) => event === "startUnanswered");
     for (const workerId of cell.workers.workerIds()) {
         cell.workers.setFault(workerId, "late");
     }
-    await advanceUntil(cell, () => given() !== undefined, "no start was given up");
+    await advanceUntil(cell, () => unansweredStart() !== undefined, "no start was given up");
     for (const workerId of cell.workers.workerIds()) {
         cell.workers.setFault(workerId, "none");
     }
-    return String(given()?.fields["workerId"]);
+    return String(unansweredStart()?.fields["workerId"]);
 };
 
 When("its start gets no answer", async function(this: ScenarioWorld) {
-    part(this).lateWorker = await loseAnswer(cellOf(this));
+    part(this).lateWorker = await delayNextStart(cellOf(this));
 });
 
 When(
-    "orders to that worker are late until it crashes after {int} ms behind a cut of {int} ms",
+    "orders to that worker are late for {int} ms, and then it crashes and is cut off for {int} ms",
     async function(this: ScenarioWorld, crashAfterMs: number, cutMs: number) {
         const { workers, clock } = cellOf(this);
         const { lateWorker } = part(this);
@@ -245,43 +251,45 @@
     },
 );
 
-/** Lines of the log after which a run that got no answer is let go of, by the words of the scenes. */
-const letGoLines: Readonly<Record<string, { readonly event: string; readonly reason: string | undefined; }>> = {
+/** Log events with which the owner releases a run whose start got no answer, by the cause that the scenarios name. */
+const releaseEvents: Readonly<Record<string, { readonly event: string; readonly reason: string | undefined; }>> = {
     "a look": { event: "runGone", reason: undefined },
     "the end of its lease": { event: "runLost", reason: "leaseOver" },
 };
 
-/** Times from when a start was given up, 150 ms after it was sent, around the moment at which it is carried out late. */
-const cutBeforeCarriedOutMs = 2_750;
-const crashAfterCarriedOutMs = 150;
-const reachedAgainAfterMs = 150;
+/** The owner gives a start up 150 ms after it was sent; the worker is cut off 100 ms before it carries the start out. */
+const cutAfterGivenUpMs = 2_750;
+/** Time from the cut to the crash of the incarnation that has carried the start out meanwhile. */
+const crashAfterCutMs = 150;
+/** Time from that crash to the end of the cut, where a look releases the run. */
+const reachableAfterCrashMs = 150;
 
 When(
-    "a start is carried out late by an incarnation that crashes unseen, {int} times, and let go of by {}",
+    "a start is carried out late by an incarnation that crashes between looks, {int} times, and its run is released after {}",
     async function(this: ScenarioWorld, times: number, by: string) {
         const cell = cellOf(this);
-        const letGo = letGoLines[by] ?? assert.fail(`nothing is let go of by ${by}`);
+        const release = releaseEvents[by] ?? assert.fail(`no run is released after ${by}`);
         const { workers, clock } = cell;
         for (let round = 0; round < times; round += 1) {
-            const late = await loseAnswer(cell);
-            const linesBefore = cell.log.length;
-            const lineOf = (wanted: string) => cell.log.slice(linesBefore).find(({ event }) => event === wanted);
-            await clock.advance(cutBeforeCarriedOutMs);
+            const late = await delayNextStart(cell);
+            const logLengthBefore = cell.log.length;
+            const lineOf = (wanted: string) => cell.log.slice(logLengthBefore).find(({ event }) => event === wanted);
+            await clock.advance(cutAfterGivenUpMs);
             const startsBefore = workers.evidence.length;
             workers.setFault(late, "cut");
             cell.crashWorkers([late]);
-            await clock.advance(crashAfterCarriedOutMs);
-            assert.equal(workers.evidence.length, startsBefore + 1, "it was not carried out");
+            await clock.advance(crashAfterCutMs);
+            assert.equal(workers.evidence.length, startsBefore + 1, "the start was not carried out");
             cell.crashWorkers([late]);
-            await clock.advance(reachedAgainAfterMs);
-            const isLetGo = (): boolean => {
-                const line = lineOf(letGo.event);
-                return line !== undefined && line.fields["reason"] === letGo.reason;
+            await clock.advance(reachableAfterCrashMs);
+            const isReleased = (): boolean => {
+                const line = lineOf(release.event);
+                return line !== undefined && line.fields["reason"] === release.reason;
             };
-            if (letGo.reason === undefined) {
+            if (release.reason === undefined) {
                 workers.setFault(late, "none");
             }
-            await advanceUntil(cell, isLetGo, "it was not let go of");
+            await advanceUntil(cell, isReleased, "the run was not released");
             workers.setFault(late, "none");
         }
     },
@@ -292,16 +300,16 @@
     async function(this: ScenarioWorld, name: string, times: number, faultMs: number) {
         const cell = cellOf(this);
         for (let index = 0; index < times; index += 1) {
-            const mend = shardFaults[name]?.(cell) ?? assert.fail(`no fault ${name}`);
+            const endFault = shardFaults[name]?.(cell) ?? assert.fail(`no fault ${name}`);
             await cell.clock.advance(faultMs);
-            mend();
+            endFault();
             await cell.clock.advance(1_500);
         }
     },
 );
 
 When(
-    "orders get lost until a start is given up, {int} ms at the most",
+    "orders are lost until a start is given up, for at most {int} ms",
     async function(this: ScenarioWorld, limitMs: number) {
         const cell = cellOf(this);
         for (const workerId of cell.workers.workerIds()) {
@@ -315,8 +323,11 @@
     },
 );
 
-/** Crashes of a worker by words: confirmed or not, with nothing else to blame; possible ones of which nobody knows. */
-const crashOf = (task: ShardTask, run: number, words: string): CrashedRun => ({
+/**
+ * Parses a crash under a run: `confirmed` if the worker had reported the run and was seen to crash, `unconfirmed` if not; `alone` if
+ * nothing else on the worker can be the cause.
+ */
+const parseCrash = (task: ShardTask, run: number, words: string): CrashedRun => ({
     task,
     run,
     bornAtMs: undefined,
@@ -325,14 +336,15 @@
     alone: words.includes("alone"),
 });
 
-When("workers crash under a task, {string}", function(this: ScenarioWorld, text: string) {
-    const task = oneTask();
+When("workers crash while they run a task, {string}", function(this: ScenarioWorld, text: string) {
+    const task = createTask();
     for (const [index, words] of text.split(", ").entries()) {
+        // No look noticed such a crash, so that it may not have happened at all.
         if (words.includes("possible")) {
             countPossibleCrash(newRun(task, "i-1", index + 1), 0);
             continue;
         }
-        countCrash(crashOf(task, index + 1, words), { others: 0, nowMs: 0 });
+        countCrash(parseCrash(task, index + 1, words), { others: 0, nowMs: 0 });
     }
     part(this).isGivenUp = hasEnded(task.step.occurrence.job);
 });
@@ -342,9 +354,9 @@
 });
 
 When(
-    "{int} workers have crashed under a task, and a worker lost its order {int} ms ago",
+    "{int} workers have crashed while they ran a task, and a worker left an order unanswered {int} ms ago",
     function(this: ScenarioWorld, crashes: number, agoMs: number) {
-        const task = oneTask();
+        const task = createTask();
         task.crashes = crashes;
         const worker = newWorker(workerEntry("i-1", 1), 0);
         const nowMs = 10_000;
@@ -366,28 +378,31 @@
 Then("{int} tasks are done within {int} ms", async function(this: ScenarioWorld, count: number, limitMs: number) {
     const { workers, until } = cellOf(this);
     const done = () => workers.evidence.filter(({ how }) => how === "done").length;
-    assert.ok(await until(() => done() >= count, limitMs), `${done()} are`);
+    assert.ok(await until(() => done() >= count, limitMs), `${done()} tasks are done`);
 });
 
 Then(
     /^the crashing jobs? (?:is|are) "([^"]*)" within (\d+) ms$/,
     async function(this: ScenarioWorld, state: string, limitMs: string) {
         const cell = cellOf(this);
-        const left = async (): Promise<readonly string[]> => {
+        const unfinished = async (): Promise<readonly string[]> => {
             const states = await cell.statesOf(part(this).jobs);
             return [...states].filter(([, each]) => each !== state).map(([jobId, each]) => `${jobId} is ${each}`);
         };
-        const reached = await cell.until(async () => (await left()).length === 0, Number(limitMs));
-        assert.ok(reached, `${(await left()).join("; ")}; ${workersTakenDown(cell)} workers went down`);
+        const reached = await cell.until(async () => (await unfinished()).length === 0, Number(limitMs));
+        assert.ok(reached, `${(await unfinished()).join("; ")}; ${countCrashedWorkers(cell)} workers crashed`);
     },
 );
 
 Then(/^(?:it has|they have) taken (\d+) workers down at most$/, function(this: ScenarioWorld, most: string) {
-    assert.ok(workersTakenDown(cellOf(this)) <= Number(most), `${workersTakenDown(cellOf(this))} went down`);
+    assert.ok(
+        countCrashedWorkers(cellOf(this)) <= Number(most),
+        `${countCrashedWorkers(cellOf(this))} workers crashed`,
+    );
 });
 
 Then("no job was shown as failed and then as anything else", function(this: ScenarioWorld) {
-    assert.deepEqual([...part(this).revived], []);
+    assert.deepEqual([...part(this).revivedJobs], []);
 });
 
 Then("no job was given up", function(this: ScenarioWorld) {
--- a/features/steps/delayedStartSteps.ts
+++ b/features/steps/delayedStartSteps.ts
@@ -1,4 +1,4 @@
-/** Steps about starts that a worker leaves unanswered and carries out late. */
+/** Steps about starts that a worker does not answer and carries out late. */
 
 import { Given, Then, When } from "@cucumber/cucumber";
 import { type DelayedStartOutcome, type DelayedStartPlan, playDelayedStart } from "@puffinarch/stand-ins";
@@ -35,7 +35,7 @@
 );
 
 Given(
-    "{string} comes after {int} ms, for {int} ms",
+    "the fault {string} comes after {int} ms, for {int} ms",
     function(this: ScenarioWorld, name: string, atMs: number, forMs: number) {
         extendPlan(this, { faults: [{ name, atMs, forMs }] });
     },
@@ -52,7 +52,7 @@
     },
 );
 
-When("it is played with {int} seeds", async function(this: ScenarioWorld, count: number) {
+When("this is simulated with {int} seeds", async function(this: ScenarioWorld, count: number) {
     const outcomes: DelayedStartOutcome[] = [];
     for (let seed = 1; seed <= count; seed += 1) {
         outcomes.push(await playDelayedStart(seed, part(this).plan));
@@ -60,19 +60,19 @@
     part(this).outcomes = outcomes;
 });
 
-Then("nothing goes wrong in any of them", function(this: ScenarioWorld) {
+Then("every simulation ends without a violation", function(this: ScenarioWorld) {
     assert.deepEqual(part(this).outcomes.flatMap(({ wrong }, index) => wrong.map(each => `${index + 1}: ${each}`)), []);
 });
 
 Then(
-    "the task is first at work after {int} to {int} ms",
+    "the task first runs after {int} to {int} ms",
     function(this: ScenarioWorld, leastMs: number, mostMs: number) {
         for (const { firstRunAfterMs } of part(this).outcomes) {
-            assert.ok(firstRunAfterMs >= leastMs && firstRunAfterMs <= mostMs, `after ${firstRunAfterMs} ms`);
+            assert.ok(firstRunAfterMs >= leastMs && firstRunAfterMs <= mostMs, `first run after ${firstRunAfterMs} ms`);
         }
     },
 );
 
-Then("no other start got no answer", function(this: ScenarioWorld) {
+Then("every other start got an answer", function(this: ScenarioWorld) {
     assert.deepEqual(part(this).outcomes.map(({ unanswered }) => unanswered), part(this).outcomes.map(() => 1));
 });
--- a/features/steps/shardCellPart.ts
+++ b/features/steps/shardCellPart.ts
@@ -1,4 +1,4 @@
-/** The cell with one shard that a scenario is about, what its steps note of it, and what holds at the end of each. */
+/** State that the steps of one scenario share about its cell with one shard, and a check after each scenario. */
 
 import { After, Status } from "@cucumber/cucumber";
 import {
@@ -13,33 +13,43 @@
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
+    /** Undefined until a step starts the cell. */
     cell: ShardCell | undefined;
     watch: StandingWatch | undefined;
+    /** IDs of the jobs that steps have submitted. */
     jobs: string[];
+    /** Functions that end the faults which are in effect. */
     mend: (() => void)[];
     seed: number;
+    /** Monotonic time at which the newest fault or drain began. */
     faultAtMs: number;
-    ownerBefore: string | undefined;
+    /** Owner when the newest fault began. */
+    formerOwner: string | undefined;
     drainingWorker: string;
+    /** Strength of each daemon, in the order of their IDs. */
     strengths: readonly number[];
+    /** VMs that received an upkeep order; undefined before the wave was carried out. */
     orderedVms: readonly string[] | undefined;
+    /** Which owner answered a forwarded request, and how long after it was sent. */
     forwarded: { readonly by: string; readonly afterMs: number; } | undefined;
-    /** Lines that the log had when the newest fault came. */
-    linesBefore: number;
+    /** Length of the log when the newest fault began. */
+    logLengthBefore: number;
     powerLoss: PowerLossOutcome | undefined;
     commitOutcome: { readonly durable: number; readonly fenced: number; } | undefined;
-    /** When a call of a lower priority was answered. */
+    /** When the call of a lower priority was answered; undefined before. */
     adviceServedAtMs: number | undefined;
     looksSent: number;
+    /** Highest acknowledged end of each look, in order. */
     readonly acknowledged: number[];
-    leasesOverAfterMs: number;
-    silentPeer: boolean | undefined;
-    /** Answers to a job and its resend, then whether it is known. */
+    /** Time from the last answer of a worker until its leases have certainly expired. */
+    leasesExpiredAfterMs: number;
+    isPeerSilent: boolean | undefined;
+    /** The answers to a job and to its resend, followed by `known` or `unknown` for the job. */
     resendAnswers: string[];
 }
 
 /**
- * Gives what a scenario knows of its shard.
+ * Returns the shard state of a scenario, created on first use.
  *
  * @example
  * part(world).faultAtMs = cellOf(world).clock.monotonicMs();
@@ -55,44 +65,54 @@
             mend: [],
             seed: 1,
             faultAtMs: 0,
-            ownerBefore: undefined,
+            formerOwner: undefined,
             drainingWorker: "",
             strengths: [],
             orderedVms: undefined,
             forwarded: undefined,
-            linesBefore: 0,
+            logLengthBefore: 0,
             powerLoss: undefined,
             commitOutcome: undefined,
             adviceServedAtMs: undefined,
             looksSent: 0,
             acknowledged: [],
-            leasesOverAfterMs: 0,
-            silentPeer: undefined,
+            leasesExpiredAfterMs: 0,
+            isPeerSilent: undefined,
             resendAnswers: [],
         }),
     );
 
-/** Whatever a scene was about: where nothing is wrong, each accepted task runs, has ended, or finds no worker with room. */
+/** After each passed scenario: without faults every accepted task runs, has ended, or no worker has room for it. */
 After(async function(this: ScenarioWorld, { result }) {
     const { cell, mend, watch } = part(this);
     if (cell === undefined || result?.status !== Status.PASSED) {
         return;
     }
-    assert.deepEqual(watch?.stood(), [], "tasks stood in the midst of the scene although there was room for them");
-    for (const end of mend.splice(0)) {
-        end();
+    assert.deepEqual(watch?.stood(), [], "tasks waited during the scenario although workers had room for them");
+    for (const endFault of mend.splice(0)) {
+        endFault();
     }
-    assert.deepEqual(await findStanding(cell), [], "tasks stand although a worker with room for them answers");
+    assert.deepEqual(await findStanding(cell), [], "tasks wait although a worker with room for them answers");
 });
 
-/** The cell of a scenario. */
+/**
+ * Returns the cell of a scenario; fails if no step has started one.
+ *
+ * @example
+ * await cellOf(world).clock.advance(500);
+ */
 export const cellOf = (world: ScenarioWorld): ShardCell => {
     const { cell } = part(world);
     assert.ok(cell !== undefined);
     return cell;
 };
 
-/** Starts the cell of a scenario and lets it get an owner. */
+/**
+ * Starts the cell of a scenario and runs it for 2 s, in which a daemon claims the shard.
+ *
+ * @example
+ * await startCell(world, { members: 3, workers: 4, seed: 1 });
+ */
 export const startCell = async (
     world: ScenarioWorld,
     options: Parameters<typeof createShardCell>[0],
--- a/features/steps/shardCellSteps.ts
+++ b/features/steps/shardCellSteps.ts
@@ -1,4 +1,4 @@
-/** Steps that start a cell with one shard, and let it run. */
+/** Steps that start a cell with one shard and let its time pass. */
 
 import { Given, When } from "@cucumber/cucumber";
 import { otherQueues, testQueue } from "@puffinarch/stand-ins";
@@ -51,7 +51,7 @@
 );
 
 Given(
-    "a cell of {int} daemons and {int} workers whose VMs refuse no token",
+    "a cell of {int} daemons and {int} workers whose VMs do not check tokens",
     async function(this: ScenarioWorld, members: number, workers: number) {
         await startCell(this, { members, workers, seed: 1, checksVmTokens: false });
     },
@@ -81,7 +81,7 @@
 );
 
 Given(
-    "a cell of {int} daemons, each fifth of them strong, and {int} workers",
+    "a cell of {int} daemons, every fifth of them strong, and {int} workers",
     async function(this: ScenarioWorld, members: number, workers: number) {
         const strengths = Array.from({ length: members }, (_, index) => index % 5 === 0 ? 1 : 0.2);
         part(this).strengths = strengths;
@@ -89,12 +89,12 @@
     },
 );
 
-/** Links of strong and of weak daemons, in bytes a ms. */
-const strongLink = 25_000;
-const weakLink = 1_250;
+/** Capacity of the links of strong and of weak daemons. */
+const strongBytesPerMs = 25_000;
+const weakBytesPerMs = 1_250;
 
 Given(
-    "a cell of {int} daemons, each fifth of them strong and the others on thin links, {int} workers and a configuration of {int} queues",
+    "a cell of {int} daemons, every fifth of them strong, the others on slow links, {int} workers and a configuration of {int} queues",
     async function(this: ScenarioWorld, members: number, workers: number, queues: number) {
         const strengths = Array.from({ length: members }, (_, index) => index % 5 === 0 ? 1 : 0.2);
         part(this).strengths = strengths;
@@ -106,7 +106,7 @@
             queues: [testQueue, ...otherQueues(queues)],
         });
         for (const [index, memberId] of cellOf(this).memberIds().entries()) {
-            cellOf(this).store.setLink(memberId, strengths[index] === 1 ? strongLink : weakLink);
+            cellOf(this).store.setLink(memberId, strengths[index] === 1 ? strongBytesPerMs : weakBytesPerMs);
         }
     },
 );
--- a/features/steps/shardFaultSteps.ts
+++ b/features/steps/shardFaultSteps.ts
@@ -1,4 +1,4 @@
-/** Steps that bring faults to a cell with one shard, and mend them. */
+/** Steps that inject faults into a cell with one shard, and end them. */
 
 import { Then, When } from "@cucumber/cucumber";
 import { crowdedShapes, explorePowerLoss, runRandomFaults, shardFaults } from "@puffinarch/stand-ins";
@@ -7,7 +7,7 @@
 import { cellOf, part } from "./shardCellPart.js";
 import type { ScenarioWorld } from "./support.js";
 
-/** A claim and half of the first page after it, where the store is well. */
+/** Time for a claim and half of the first page read after it, from a healthy store. */
 const claimMs = 6;
 
 When(
@@ -42,7 +42,7 @@
     }
 });
 
-When("the store refuses {int} of the daemons on thin links", function(this: ScenarioWorld, refused: number) {
+When("the store refuses {int} of the daemons on slow links", function(this: ScenarioWorld, refused: number) {
     const cell = cellOf(this);
     const { strengths } = part(this);
     const weak = cell.memberIds().filter((_, index) => strengths[index] !== 1);
@@ -57,7 +57,7 @@
 
 When("all daemons but the former owner are back", function(this: ScenarioWorld) {
     const cell = cellOf(this);
-    for (const memberId of cell.memberIds().filter(each => each !== part(this).ownerBefore)) {
+    for (const memberId of cell.memberIds().filter(each => each !== part(this).formerOwner)) {
         cell.restart(memberId);
     }
 });
@@ -66,7 +66,7 @@
     cellOf(this).store.setUnreadable(memberTable, how === "cannot be read");
 });
 
-When("the power loss of seed {int} is explored", async function(this: ScenarioWorld, seed: number) {
+When("the power loss of seed {int} is simulated", async function(this: ScenarioWorld, seed: number) {
     part(this).powerLoss = await explorePowerLoss(seed);
 });
 
@@ -79,16 +79,16 @@
     },
 );
 
-/** Often enough that a store which takes 110 ms for each refuses the next ones. */
+/** A slow store takes 110 ms for each write; at this rate its queue fills up and it refuses further writes. */
 const writeEveryMs = 10;
 const longestWaitMs = 10_000;
 
 When(
-    "the owner is killed while the store is slow and others keep its queue full until {int} ms after the first claim",
+    "the owner is killed while the store is slow and another writer keeps its queue full until {int} ms after the first claim",
     async function(this: ScenarioWorld, untilMs: number) {
         const cell = cellOf(this);
-        const linesBefore = cell.log.length;
-        const hasClaimed = (): boolean => cell.log.slice(linesBefore).some(({ event }) => event === "claimBegins");
+        const logLengthBefore = cell.log.length;
+        const hasClaimed = (): boolean => cell.log.slice(logLengthBefore).some(({ event }) => event === "claimBegins");
         const connection = cell.store.connect("writer");
         const write = async (forMs: number, isOver: () => boolean): Promise<void> => {
             for (let passedMs = 0; passedMs < forMs && !isOver(); passedMs += writeEveryMs) {
@@ -104,7 +104,7 @@
             restart?.();
         });
         await write(longestWaitMs, hasClaimed);
-        assert.ok(hasClaimed(), "nobody claimed");
+        assert.ok(hasClaimed(), "no daemon began a claim");
         await write(untilMs, () => false);
     },
 );
@@ -139,32 +139,33 @@
     part(this).mend.shift()?.();
 });
 
-const faultsNamed = (text: string): readonly string[] => {
+/** Names of faults contain commas themselves, so the longest known name that matches is split off first. */
+const parseFaultNames = (text: string): readonly string[] => {
     const known = Object.keys(shardFaults).sort((left, right) => right.length - left.length);
     const found: string[] = [];
-    let rest = text;
-    while (rest !== "") {
-        const next = known.find(name => rest.startsWith(name));
-        assert.ok(next !== undefined, `no fault begins "${rest}"`);
+    let remaining = text;
+    while (remaining !== "") {
+        const next = known.find(name => remaining.startsWith(name));
+        assert.ok(next !== undefined, `no known fault at the start of "${remaining}"`);
         found.push(next);
-        rest = rest.slice(next.length).replace(/^, /, "");
+        remaining = remaining.slice(next.length).replace(/^, /, "");
     }
     return found;
 };
 
 When("the fault {string} comes", function(this: ScenarioWorld, text: string) {
     part(this).faultAtMs = cellOf(this).clock.monotonicMs();
-    part(this).ownerBefore = cellOf(this).owner();
-    part(this).linesBefore = cellOf(this).log.length;
-    for (const name of faultsNamed(text)) {
-        const mend = shardFaults[name]?.(cellOf(this));
-        assert.ok(mend !== undefined);
-        part(this).mend.push(mend);
+    part(this).formerOwner = cellOf(this).owner();
+    part(this).logLengthBefore = cellOf(this).log.length;
+    for (const name of parseFaultNames(text)) {
+        const endFault = shardFaults[name]?.(cellOf(this));
+        assert.ok(endFault !== undefined);
+        part(this).mend.push(endFault);
     }
 });
 
 When(
-    "a worker shrinks to an eighth, and its entry lapses after {int} ms",
+    "the capacity of a worker shrinks to an eighth, and its entry expires after {int} ms",
     function(this: ScenarioWorld, lapsesMs: number) {
         const cell = cellOf(this);
         const [workerId = ""] = cell.workers.workerIds();
@@ -178,8 +179,8 @@
 });
 
 When("the fault goes", function(this: ScenarioWorld) {
-    for (const mend of part(this).mend.splice(0)) {
-        mend();
+    for (const endFault of part(this).mend.splice(0)) {
+        endFault();
     }
 });
 
@@ -201,16 +202,16 @@
 When("three owners are cut off, each soon after its claim", async function(this: ScenarioWorld) {
     const cell = cellOf(this);
     for (let count = 0; count < 3; count += 1) {
-        const mend = shardFaults["owner cut from its peers, the store, workers"]?.(cell);
+        const endFault = shardFaults["owner cut from its peers, the store, workers"]?.(cell);
         const before = cell.owner();
         const others = cell.memberIds().filter(memberId => memberId !== before);
         assert.ok(await cell.until(() => others.some(memberId => cell.member(memberId)?.ownsShard() === true), 8_000));
-        mend?.();
+        endFault?.();
         await cell.clock.advance(500);
     }
 });
 
-When("the store is slow and serves but the owner and one other daemon", function(this: ScenarioWorld) {
+When("the store is slow and serves only the owner and one other daemon", function(this: ScenarioWorld) {
     const cell = cellOf(this);
     const others = cell.memberIds().filter(memberId => memberId !== cell.owner());
     cell.store.setFault("slow");
--- a/features/steps/shardJobSteps.ts
+++ b/features/steps/shardJobSteps.ts
@@ -1,4 +1,4 @@
-/** Steps about the jobs of a shard: how they are submitted, cancelled and answered, and the states that they reach. */
+/** Steps that submit and cancel jobs of a shard, and check the answers and the states of the jobs. */
 
 import { Then, When } from "@cucumber/cucumber";
 import { jobIdOf, readSteps, type ShardCell, testQueue } from "@puffinarch/stand-ins";
@@ -7,10 +7,10 @@
 import { cellOf, part } from "./shardCellPart.js";
 import type { ScenarioWorld } from "./support.js";
 
-/** The store takes 100 entries a call. */
+/** The store accepts at most 100 entries in a call. */
 const rowsPerWrite = 90;
 
-/** Rows as an owner writes them, in as many transactions as the store asks for. */
+/** Writes rows of the shard in transactions of a size that the store accepts. */
 const writeRows = async (
     cell: ShardCell,
     rows: readonly { readonly table: string; readonly key: string; readonly value: string; }[],
@@ -24,7 +24,7 @@
 };
 
 When(
-    "the journal holds {int} jobs that go on and {int} that have ended",
+    "the journal holds {int} unfinished jobs and {int} that have ended",
     async function(this: ScenarioWorld, jobs: number, ended: number) {
         const cell = cellOf(this);
         for (let number = 1; number <= jobs; number += 1) {
@@ -44,35 +44,38 @@
     const cell = cellOf(this);
     const jobId = jobIdOf(9_002);
     cell.submit(jobId, readSteps("1"));
-    assert.ok(await cell.until(() => cell.answers().get(jobId) === "accepted", limitMs), "it is not");
+    assert.ok(
+        await cell.until(() => cell.answers().get(jobId) === "accepted", limitMs),
+        "the job is not accepted in time",
+    );
 });
 
 Then(
-    "all daemons tell within {int} ms that {int} jobs wait",
+    "all daemons report within {int} ms that {int} jobs wait",
     async function(this: ScenarioWorld, ms: number, jobs: number) {
         const cell = cellOf(this);
-        const told = new Map<string, number | undefined>();
+        const reported = new Map<string, number | undefined>();
         for (const memberId of cell.memberIds()) {
-            void cell.member(memberId)?.pending(testQueue.key).then(count => told.set(memberId, count));
+            void cell.member(memberId)?.pending(testQueue.key).then(count => reported.set(memberId, count));
         }
         await cell.clock.advance(ms);
-        assert.deepEqual(told, new Map(cell.memberIds().map(memberId => [memberId, jobs])));
+        assert.deepEqual(reported, new Map(cell.memberIds().map(memberId => [memberId, jobs])));
     },
 );
 
 Then(
-    "for {int} ms no daemon says that fewer than {int} jobs wait",
-    async function(this: ScenarioWorld, forMs: number, least: number) {
+    "for {int} ms no daemon reports that fewer than {int} jobs wait",
+    async function(this: ScenarioWorld, forMs: number, leastJobs: number) {
         const cell = cellOf(this);
-        const told: (number | undefined)[] = [];
+        const reported: (number | undefined)[] = [];
         for (let passedMs = 0; passedMs < forMs; passedMs += 50) {
             await cell.clock.advance(50);
             for (const memberId of cell.memberIds()) {
-                void cell.member(memberId)?.pending(testQueue.key).then(count => told.push(count));
+                void cell.member(memberId)?.pending(testQueue.key).then(count => reported.push(count));
             }
         }
-        assert.deepEqual(told.filter(count => count !== undefined && count < least), []);
-        assert.ok(told.some(count => count !== undefined), "nobody tells any");
+        assert.deepEqual(reported.filter(count => count !== undefined && count < leastJobs), []);
+        assert.ok(reported.some(count => count !== undefined), "no daemon reported a count");
     },
 );
 
@@ -109,7 +112,7 @@
     for (const jobId of part(this).jobs) {
         owner?.cancel({ queueKey: testQueue.key, jobId }, 1_000).catch(() => {});
     }
-    // Long enough for the commit and too short for the stops.
+    // Long enough for the commits of the cancels, too short for the stops of the tasks.
     await cell.clock.advance(6);
     cell.kill(ownerId);
     part(this).jobs = [];
@@ -125,7 +128,7 @@
     },
 );
 
-Then("some were surely refused and none of those ran", function(this: ScenarioWorld) {
+Then("some jobs were definitely refused and none of them ran", function(this: ScenarioWorld) {
     const cell = cellOf(this);
     const refused = [...cell.answers()].filter(([, answer]) => answer === "notAccepted").map(([jobId]) => jobId);
     assert.ok(refused.length > 0, [...cell.answers().values()].join(", "));
@@ -134,11 +137,11 @@
 });
 
 When("a job is submitted once through the former owner", function(this: ScenarioWorld) {
-    const { ownerBefore, jobs } = part(this);
-    assert.ok(ownerBefore !== undefined);
+    const { formerOwner, jobs } = part(this);
+    assert.ok(formerOwner !== undefined);
     const jobId = jobIdOf(9_001);
     jobs.push(jobId);
-    cellOf(this).submitOnce(jobId, readSteps("2"), ownerBefore);
+    cellOf(this).submitOnce(jobId, readSteps("2"), formerOwner);
 });
 
 Then("it is accepted within {int} ms", async function(this: ScenarioWorld, limitMs: number) {
@@ -150,17 +153,17 @@
 Then("all jobs are {string} within {int} ms", async function(this: ScenarioWorld, state: string, limitMs: number) {
     const cell = cellOf(this);
     const { jobs } = part(this);
-    const left = async (): Promise<readonly string[]> => {
+    const unfinished = async (): Promise<readonly string[]> => {
         const states = await cell.statesOf(jobs);
         return [...states].filter(([, each]) => each !== state).map(([jobId, each]) => `${jobId} is ${each}`);
     };
-    const reached = await cell.until(async () => (await left()).length === 0, limitMs);
-    assert.ok(reached, `${(await left()).join("; ")}; owner ${cell.owner()}`);
+    const reached = await cell.until(async () => (await unfinished()).length === 0, limitMs);
+    assert.ok(reached, `${(await unfinished()).join("; ")}; owner ${cell.owner()}`);
 });
 
-Then("{int} jobs at least were refused", function(this: ScenarioWorld, count: number) {
+Then("at least {int} jobs were refused", function(this: ScenarioWorld, count: number) {
     const refused = [...cellOf(this).answers().values()].filter(answer => answer === "refused");
-    assert.ok(refused.length >= count, `${refused.length} were`);
+    assert.ok(refused.length >= count, `${refused.length} jobs were refused`);
 });
 
 Then("all jobs but those that last are completed", async function(this: ScenarioWorld) {
--- a/features/steps/shardLookSteps.ts
+++ b/features/steps/shardLookSteps.ts
@@ -1,4 +1,4 @@
-/** Steps about an owner's looks at its workers, each on a clock of its own. */
+/** Steps that test the looks of an owner at its workers without a cell, each with a fake clock of its own. */
 
 import { Then, When } from "@cucumber/cucumber";
 import { createFakeClock, type FakeClock, quietLog, quietMeter, workerEntry } from "@puffinarch/stand-ins";
@@ -55,7 +55,7 @@
     assert.equal(part(this).looksSent, count);
 });
 
-/** A link to a worker that answers looks as it is told, and nothing else. */
+/** Opens a link to a worker that answers looks by `look` and leaves all orders unanswered. */
 const openLinkTo = (worker: ShardWorker, clock: FakeClock, look: FencedWorkerPort["look"]): WorkerLink =>
     openWorkerLink(worker, {
         clock,
@@ -103,7 +103,7 @@
         });
         await clock.advance(60_000);
         link.close();
-        part(this).leasesOverAfterMs = worker.horizonMs - worker.answeredAtMs;
+        part(this).leasesExpiredAfterMs = worker.horizonMs - worker.answeredAtMs;
     },
 );
 
@@ -133,9 +133,9 @@
 });
 
 Then(
-    "the leases there are surely over {int} ms after its last answer",
+    "its leases have certainly expired {int} ms after its last answer",
     function(this: ScenarioWorld, limitMs: number) {
-        const { leasesOverAfterMs } = part(this);
-        assert.ok(leasesOverAfterMs <= limitMs, `only ${leasesOverAfterMs} ms after it`);
+        const { leasesExpiredAfterMs } = part(this);
+        assert.ok(leasesExpiredAfterMs <= limitMs, `they expire only ${leasesExpiredAfterMs} ms after it`);
     },
 );
--- a/features/steps/shardModuleSteps.ts
+++ b/features/steps/shardModuleSteps.ts
@@ -1,4 +1,4 @@
-/** Steps on single modules of a shard, each on a clock of its own: commits, advice, forwarding, peers, acceptance. */
+/** Steps that test single modules of a shard, each with a fake clock of its own: commits, advice, forwarding, peers, acceptance. */
 
 import { Then, When } from "@cucumber/cucumber";
 import {
@@ -69,7 +69,7 @@
 );
 
 When(
-    "the advice desk's lane is asked for urgent calls of {int} ms without end, and once for one of a lower priority",
+    "the advice desk's lane gets urgent calls of {int} ms without end, and one call of a lower priority",
     async function(this: ScenarioWorld, callMs: number) {
         const clock = createFakeClock();
         const desk = createAdviceDesk({
@@ -107,8 +107,8 @@
     "the advisor has served the call of the lower priority within {int} ms",
     function(this: ScenarioWorld, limitMs: number) {
         const { adviceServedAtMs, faultAtMs } = part(this);
-        assert.ok(adviceServedAtMs !== undefined, "it was not served within a minute");
-        assert.ok(adviceServedAtMs - faultAtMs <= limitMs, `after ${adviceServedAtMs - faultAtMs} ms`);
+        assert.ok(adviceServedAtMs !== undefined, "the call was not served within a minute");
+        assert.ok(adviceServedAtMs - faultAtMs <= limitMs, `served after ${adviceServedAtMs - faultAtMs} ms`);
     },
 );
 
@@ -144,7 +144,10 @@
 
 Then("it is answered by the next owner after {int} ms", function(this: ScenarioWorld, afterMs: number) {
     assert.equal(part(this).forwarded?.by, "entry-2");
-    assert.ok((part(this).forwarded?.afterMs ?? Infinity) <= afterMs + 60, `after ${part(this).forwarded?.afterMs} ms`);
+    assert.ok(
+        (part(this).forwarded?.afterMs ?? Infinity) <= afterMs + 60,
+        `answered after ${part(this).forwarded?.afterMs} ms`,
+    );
 });
 
 When(
@@ -177,12 +180,12 @@
         await clock.advance(afterMs);
         void peers.ping(peer);
         await clock.advance(1_000);
-        part(this).silentPeer = peers.isSilent(peer.memberId);
+        part(this).isPeerSilent = peers.isSilent(peer.memberId);
     },
 );
 
 Then("the peer is not silent", function(this: ScenarioWorld) {
-    assert.equal(part(this).silentPeer, false);
+    assert.equal(part(this).isPeerSilent, false);
 });
 
 When("a job is accepted while a resend of it waits for a batch that stalls", async function(this: ScenarioWorld) {
--- a/features/steps/shardOwnerSteps.ts
+++ b/features/steps/shardOwnerSteps.ts
@@ -1,4 +1,4 @@
-/** Steps about the members of a cell and the owners of its shard: who claims, what each logs, when it is ready. */
+/** Steps that check the members of a cell and the owner of its shard: claims, log lines, readiness and calls between members. */
 
 import { Then, When } from "@cucumber/cucumber";
 import type { PeerCalls, ShardCell } from "@puffinarch/stand-ins";
@@ -11,28 +11,28 @@
     async function(this: ScenarioWorld, count: number, limitMs: number) {
         const cell = cellOf(this);
         const isKnown = (): boolean =>
-            cell.log.slice(part(this).linesBefore).some(line =>
+            cell.log.slice(part(this).logLengthBefore).some(line =>
                 line.event === "workersKnown" && line.fields["workers"] === count
             );
-        assert.ok(await cell.until(isKnown, limitMs), "it does not");
+        assert.ok(await cell.until(isKnown, limitMs), "the log has no line for that number of workers");
     },
 );
 
 Then("all daemons that run are ready within {int} ms", async function(this: ScenarioWorld, limitMs: number) {
     const cell = cellOf(this);
-    const running = cell.memberIds().filter(memberId => memberId !== part(this).ownerBefore);
+    const running = cell.memberIds().filter(memberId => memberId !== part(this).formerOwner);
     const notReady = (): readonly string[] => running.filter(memberId => cell.member(memberId)?.ready() !== true);
     assert.ok(await cell.until(() => notReady().length === 0, limitMs), `not ready: ${notReady().join(", ")}`);
 });
 
-/** Lines of an event since the newest fault, for each daemon but the owner before it. */
+/** Log lines of an event since the newest fault, by daemon, without the owner from before that fault. */
 const linesOfOthers = (
     world: ScenarioWorld,
     event: string,
 ): ReadonlyMap<string, readonly ShardCell["log"][number][]> => {
-    const { linesBefore, ownerBefore } = part(world);
-    const lines = cellOf(world).log.slice(linesBefore).filter(line => line.event === event);
-    const others = cellOf(world).memberIds().filter(memberId => memberId !== ownerBefore);
+    const { logLengthBefore, formerOwner } = part(world);
+    const lines = cellOf(world).log.slice(logLengthBefore).filter(line => line.event === event);
+    const others = cellOf(world).memberIds().filter(memberId => memberId !== formerOwner);
     return new Map(others.map(memberId => [memberId, lines.filter(line => line.memberId === memberId)]));
 };
 
@@ -47,7 +47,7 @@
 );
 
 Then(
-    "each other daemon has logged {string} {int} times at most",
+    "each other daemon has logged {string} at most {int} times",
     function(this: ScenarioWorld, event: string, most: number) {
         for (const [memberId, lines] of linesOfOthers(this, event)) {
             assert.ok(lines.length > 0 && lines.length <= most, `${memberId}: ${lines.length}`);
@@ -62,37 +62,37 @@
     }
 });
 
-Then("{int} daemons at most began a claim", function(this: ScenarioWorld, most: number) {
-    const lines = cellOf(this).log.slice(part(this).linesBefore).filter(line => line.event === "claimBegins");
+Then("at most {int} daemons began a claim", function(this: ScenarioWorld, most: number) {
+    const lines = cellOf(this).log.slice(part(this).logLengthBefore).filter(line => line.event === "claimBegins");
     const claimants = new Set(lines.map(line => line.memberId));
     assert.ok(claimants.size <= most, [...claimants].join(", "));
 });
 
-Then("the shard was claimed {int} times at most", function(this: ScenarioWorld, most: number) {
-    const known = cellOf(this).log.slice(part(this).linesBefore).filter(line => line.event === "ownerKnown");
+Then("the shard was claimed at most {int} times", function(this: ScenarioWorld, most: number) {
+    const known = cellOf(this).log.slice(part(this).logLengthBefore).filter(line => line.event === "ownerKnown");
     const tokens = new Set(known.map(line => Number(line.fields["fencingToken"])));
-    // The lowest is the owner's before the fault.
-    assert.ok(tokens.size - 1 <= most, `${tokens.size - 1} times`);
+    // The lowest token belongs to the owner from before the fault.
+    assert.ok(tokens.size - 1 <= most, `claimed ${tokens.size - 1} times`);
 });
 
 const isStrong = (world: ScenarioWorld, memberId: string | undefined): boolean =>
     memberId !== undefined && part(world).strengths[cellOf(world).memberIds().indexOf(memberId)] === 1;
 
 Then("no weak daemon has owned the shard since", function(this: ScenarioWorld) {
-    const lines = cellOf(this).log.slice(part(this).linesBefore);
+    const lines = cellOf(this).log.slice(part(this).logLengthBefore);
     const owners = lines.filter(line => line.event === "claimed").map(line => line.memberId);
     assert.ok(owners.length > 0);
     assert.deepEqual(owners.filter(owner => !isStrong(this, owner)), []);
 });
 
-Then("the shard has had {int} owners at most since", function(this: ScenarioWorld, most: number) {
-    const lines = cellOf(this).log.slice(part(this).linesBefore);
+Then("the shard has had at most {int} owners since", function(this: ScenarioWorld, most: number) {
+    const lines = cellOf(this).log.slice(part(this).logLengthBefore);
     const owners = lines.filter(line => line.event === "claimed").map(line => line.memberId);
-    assert.ok(owners.length <= most, `it has had ${owners.length}: ${owners.join(", ")}`);
+    assert.ok(owners.length <= most, `it has had ${owners.length} owners: ${owners.join(", ")}`);
 });
 
 Then(
-    "in {int} ms each other daemon has {int} calls a second at most with its peers, and the owner {int}",
+    "in {int} ms each other daemon has at most {int} calls per second with its peers, and the owner {int}",
     async function(this: ScenarioWorld, forMs: number, most: number, mostOfOwner: number) {
         const cell = cellOf(this);
         const owner = cell.owner();
@@ -105,13 +105,13 @@
         for (const memberId of cell.memberIds()) {
             const callsPerS = 1_000 * (callsOf(cell.peerCalls(), memberId) - callsOf(before, memberId)) / forMs;
             const allowed = memberId === owner ? mostOfOwner : most;
-            assert.ok(callsPerS <= allowed, `${memberId} has ${callsPerS} calls a second`);
+            assert.ok(callsPerS <= allowed, `${memberId} has ${callsPerS} calls per second`);
         }
     },
 );
 
-/** Which daemons lose power, by words. */
-const losers: Readonly<Record<string, (cell: ShardCell) => readonly string[]>> = {
+/** The daemons that lose power, by their description in the steps. */
+const poweredOff: Readonly<Record<string, (cell: ShardCell) => readonly string[]>> = {
     "all others": cell => othersOf(cell),
     "half of the others": cell => othersOf(cell).filter((_memberId, index) => index % 2 === 0),
 };
@@ -122,7 +122,7 @@
     /^(all others|half of the others|the owner and half of the others) lose power$/,
     function(this: ScenarioWorld, who: string) {
         const cell = cellOf(this);
-        for (const memberId of losers[who]?.(cell) ?? []) {
+        for (const memberId of poweredOff[who]?.(cell) ?? []) {
             cell.kill(memberId);
         }
     },
@@ -143,31 +143,34 @@
     },
 );
 
-Then("those that are cut off are not ready within {int} ms", async function(this: ScenarioWorld, limitMs: number) {
-    const cell = cellOf(this);
-    await cell.clock.advance(limitMs);
-    const stillReady = cell.memberIds().filter(memberId =>
-        cell.isCut(memberId, "peers") && cell.member(memberId)?.ready() === true
-    );
-    assert.deepEqual(stillReady, []);
-});
+Then(
+    "the daemons that are cut off are no longer ready after {int} ms",
+    async function(this: ScenarioWorld, limitMs: number) {
+        const cell = cellOf(this);
+        await cell.clock.advance(limitMs);
+        const stillReady = cell.memberIds().filter(memberId =>
+            cell.isCut(memberId, "peers") && cell.member(memberId)?.ready() === true
+        );
+        assert.deepEqual(stillReady, []);
+    },
+);
 
 Then("no other daemon has logged {string}", function(this: ScenarioWorld, event: string) {
     const cell = cellOf(this);
-    const { linesBefore } = part(this);
-    const others = cell.log.slice(linesBefore).filter(line =>
+    const { logLengthBefore } = part(this);
+    const others = cell.log.slice(logLengthBefore).filter(line =>
         line.event === event && !cell.isCut(line.memberId, "peers")
     );
     assert.deepEqual(others.map(({ memberId }) => memberId), []);
 });
 
 Then("the shard's owner is strong", function(this: ScenarioWorld) {
-    assert.ok(isStrong(this, cellOf(this).owner()), `it is ${cellOf(this).owner()}`);
+    assert.ok(isStrong(this, cellOf(this).owner()), `the owner is ${cellOf(this).owner()}`);
 });
 
 Then("a daemon owns the shard within {int} ms", async function(this: ScenarioWorld, limitMs: number) {
     const cell = cellOf(this);
-    assert.ok(await cell.until(() => cell.owner() !== undefined, limitMs), "nobody does");
+    assert.ok(await cell.until(() => cell.owner() !== undefined, limitMs), "no daemon owns the shard");
 });
 
 Then("the shard has had no other owner", function(this: ScenarioWorld) {
@@ -175,7 +178,7 @@
     assert.equal(owners.length, 1, owners.join(", "));
 });
 
-Then("the shard's owner has written {int} batches at most", function(this: ScenarioWorld, most: number) {
+Then("the shard's owner has written at most {int} batches", function(this: ScenarioWorld, most: number) {
     const row = cellOf(this).store.rows("puffinarch-journal").find(each => each.key === "sequence");
     const { batch } = JSON.parse(row?.value ?? "{}") as { readonly batch?: string; };
     const written = 1 + Number(batch?.split("/").at(-1));
@@ -184,17 +187,17 @@
 
 Then("the new owner has reviewed the tasks of {int} jobs", function(this: ScenarioWorld, jobs: number) {
     const cell = cellOf(this);
-    const lines = cell.log.slice(part(this).linesBefore).filter(line => line.event === "tasksReviewed");
+    const lines = cell.log.slice(part(this).logLengthBefore).filter(line => line.event === "tasksReviewed");
     assert.deepEqual(lines.map(line => [line.memberId, line.fields["jobs"]]), [[cell.owner(), jobs]]);
 });
 
 Then("another daemon owns the shard within {int} ms", async function(this: ScenarioWorld, limitMs: number) {
     const cell = cellOf(this);
-    const { ownerBefore } = part(this);
-    const others = cell.memberIds().filter(memberId => memberId !== ownerBefore);
+    const { formerOwner } = part(this);
+    const others = cell.memberIds().filter(memberId => memberId !== formerOwner);
     const reached = await cell.until(
         () => others.some(memberId => cell.member(memberId)?.ownsShard() === true),
         limitMs,
     );
-    assert.ok(reached, `still ${cell.owner()}`);
+    assert.ok(reached, `the owner is still ${cell.owner()}`);
 });
--- a/features/steps/shardRunSteps.ts
+++ b/features/steps/shardRunSteps.ts
@@ -1,4 +1,4 @@
-/** Steps about runs of tasks, by the evidence that the workers keep: what ran, how often, where, and what waits. */
+/** Steps that check runs of tasks against the record that the fake workers keep: what ran, how often, where, and what waits. */
 
 import { Then, When } from "@cucumber/cucumber";
 import type { ShardCell } from "@puffinarch/stand-ins";
@@ -6,7 +6,7 @@
 import { cellOf, part } from "./shardCellPart.js";
 import type { ScenarioWorld } from "./support.js";
 
-Then("no run has lapsed", function(this: ScenarioWorld) {
+Then("no run was ended by an expired lease", function(this: ScenarioWorld) {
     const lapsed = cellOf(this).workers.evidence.filter(start => start.how === "lapsed");
     assert.equal(lapsed.length, 0);
 });
@@ -15,27 +15,30 @@
     "the log says that the tasks of {int} step(s) wait for {string}, with {string}",
     function(this: ScenarioWorld, count: number, wait: string, counts: string) {
         const { fields } = cellOf(this).log.findLast(line => line.event === "taskWaits")
-            ?? assert.fail("it says nothing");
+            ?? assert.fail('the log has no line "taskWaits"');
         assert.equal(fields["lateSteps"], `${wait} ${count}`);
         assert.match(String(fields["longest"]), new RegExp(`: ${wait} for \\d+ ms; ${counts}`));
     },
 );
 
 Then(
-    "never were more than {int} of {int} tasks away at once",
-    function(this: ScenarioWorld, most: number, all: number) {
+    "at most {int} of {int} tasks were missing at the same time",
+    function(this: ScenarioWorld, mostMissing: number, taskCount: number) {
         const { evidence } = cellOf(this).workers;
         const names = new Set(evidence.map(each => each.taskName));
-        assert.equal(names.size, all);
+        assert.equal(names.size, taskCount);
         const firstEndMs = Math.min(...evidence.map(each => each.endedAtMs ?? Infinity));
-        assert.ok(Number.isFinite(firstEndMs), "no task was moved");
+        assert.ok(Number.isFinite(firstEndMs), "no run has ended");
         for (const { endedAtMs } of evidence) {
             const atMs = (endedAtMs ?? firstEndMs) + 1;
             const present = new Set(
                 evidence.filter(each => each.startedAtMs <= atMs && (each.endedAtMs ?? Infinity) > atMs)
                     .map(each => each.taskName),
             );
-            assert.ok(all - present.size <= most, `${all - present.size} away at ${atMs} ms`);
+            assert.ok(
+                taskCount - present.size <= mostMissing,
+                `${taskCount - present.size} tasks missing at ${atMs} ms`,
+            );
         }
     },
 );
@@ -76,7 +79,7 @@
     assert.deepEqual([...runs].filter(([, count]) => count !== Number(times)), []);
 });
 
-Then("no end that was listed while the store was away is acknowledged", function(this: ScenarioWorld) {
+Then("no end that was listed while the store was unavailable is acknowledged", function(this: ScenarioWorld) {
     const late = cellOf(this).workers.evidence.filter(start =>
         start.endedAtMs !== undefined && start.endedAtMs > part(this).faultAtMs
     );
--- a/features/steps/shardUpkeepSteps.ts
+++ b/features/steps/shardUpkeepSteps.ts
@@ -1,4 +1,4 @@
-/** Steps about what operators ask of a shard: configurations, and waves of upkeep of VMs. */
+/** Steps about requests of operators to a shard: new configurations and upkeep waves of VMs. */
 
 import { Then, When } from "@cucumber/cucumber";
 import { createFakeClock, quietLog, quietMeter } from "@puffinarch/stand-ins";
@@ -7,50 +7,53 @@
 import { cellOf, part } from "./shardCellPart.js";
 import type { ScenarioWorld } from "./support.js";
 
-Then("no VM had an order of a former owner after one of its successor", function(this: ScenarioWorld) {
+Then("no VM received an order from a former owner after one from its successor", function(this: ScenarioWorld) {
     assert.deepEqual(cellOf(this).vms.outOfTurn, []);
 });
 
-When("a wave is acted on while each record takes {int} ms", async function(this: ScenarioWorld, takesMs: number) {
-    const clock = createFakeClock();
-    const ordered: string[] = [];
-    const upkeep = startUpkeep({
-        clock,
-        log: quietLog,
-        meter: quietMeter,
-        port: {
-            list: async () => [{ vmId: "vm-1", state: "up", workerId: "i-1" }],
-            upkeep: async ({ vmId }) => {
-                ordered.push(vmId);
-                return "done";
+When(
+    "a wave is carried out while each of its records takes {int} ms to write",
+    async function(this: ScenarioWorld, takesMs: number) {
+        const clock = createFakeClock();
+        const ordered: string[] = [];
+        const upkeep = startUpkeep({
+            clock,
+            log: quietLog,
+            meter: quietMeter,
+            port: {
+                list: async () => [{ vmId: "vm-1", state: "up", workerId: "i-1" }],
+                upkeep: async ({ vmId }) => {
+                    ordered.push(vmId);
+                    return "done";
+                },
             },
-        },
-        holderId: "entry-1",
-        fencingToken: 7,
-        workers: new Map(),
-        stop: () => {},
-        lose: () => {},
-        settleMs: 0,
-        rows: {
-            read: async () => new Map(),
-            record: async () => {
-                await sleep(clock, takesMs);
-                return true;
+            holderId: "entry-1",
+            fencingToken: 7,
+            workers: new Map(),
+            stop: () => {},
+            lose: () => {},
+            settleMs: 0,
+            rows: {
+                read: async () => new Map(),
+                record: async () => {
+                    await sleep(clock, takesMs);
+                    return true;
+                },
+                show: async () => true,
             },
-            show: async () => true,
-        },
-    });
-    upkeep.update([{ number: 1, vmIds: ["vm-1"], deadlineMs: 10_000, atOnce: 1 }]);
-    await clock.advance(5_000);
-    upkeep.close();
-    part(this).orderedVms = ordered;
-});
+        });
+        upkeep.update([{ number: 1, vmIds: ["vm-1"], deadlineMs: 10_000, atOnce: 1 }]);
+        await clock.advance(5_000);
+        upkeep.close();
+        part(this).orderedVms = ordered;
+    },
+);
 
-Then("no VM was ordered", function(this: ScenarioWorld) {
+Then("no VM received an order", function(this: ScenarioWorld) {
     assert.deepEqual(part(this).orderedVms, []);
 });
 
-When("the configuration {int} comes", function(this: ScenarioWorld, version: number) {
+When("the configuration {int} is published", function(this: ScenarioWorld, version: number) {
     cellOf(this).configure(version);
 });
 
@@ -79,13 +82,15 @@
         const cell = cellOf(this);
         assert.ok(
             await cell.until(() => cell.waveState(1) === state, limitMs),
-            `it is shown as ${cell.waveState(1)}; upkeep of ${cell.vms.evidence.map(each => each.vmId).join(", ")}`,
+            `the wave is shown as ${cell.waveState(1)}; upkeep of ${
+                cell.vms.evidence.map(each => each.vmId).join(", ")
+            }`,
         );
     },
 );
 
 Then(
-    "each of the {int} VMs had its upkeep once, with {int} down at once at the most",
+    "each of the {int} VMs had its upkeep once, with at most {int} down at the same time",
     function(this: ScenarioWorld, count: number, atOnce: number) {
         const { evidence } = cellOf(this).vms;
         assert.equal(new Set(evidence.map(each => each.vmId)).size, count);
@@ -94,6 +99,6 @@
     },
 );
 
-Then("the upkeep cut off no task", function(this: ScenarioWorld) {
+Then("the upkeep interrupted no task", function(this: ScenarioWorld) {
     assert.deepEqual(cellOf(this).vms.evidence.filter(each => each.cutRuns > 0), []);
 });
--- a/features/steps/support.ts
+++ b/features/steps/support.ts
@@ -1,13 +1,15 @@
-/** State of one scenario, and what must be closed after it. */
+/** State that the steps of one scenario share, and the cleanup after it. */
 
 import { After, setDefaultTimeout, setWorldConstructor } from "@cucumber/cucumber";
 import { type ErrorKind, type Failure, failureOf } from "puffinarch";
 
 setDefaultTimeout(300_000);
 
-/** One scenario's own place for what its steps share; each steps file keeps its part under its own key. */
+/** State of one scenario. */
 export class ScenarioWorld {
+    /** State of each steps file, under a key of its own. */
     readonly parts = new Map<string, unknown>();
+    /** Cleanups that run after the scenario, the newest first. */
     readonly closers: (() => Promise<void>)[] = [];
 }
 
@@ -20,29 +22,29 @@
 });
 
 /**
- * Gives a steps file its part of the scenario's state, made on first use.
+ * Returns the state that a steps file keeps in a scenario, created on first use.
  *
  * @example
  * const state = partOf(world, "journal", () => ({ writes: 0 }));
  */
-export const partOf = <T>(world: ScenarioWorld, name: string, make: () => T): T => {
-    const known = world.parts.get(name);
-    if (known !== undefined) {
-        return known as T;
+export const partOf = <T>(world: ScenarioWorld, name: string, create: () => T): T => {
+    const existing = world.parts.get(name);
+    if (existing !== undefined) {
+        return existing as T;
     }
-    const made = make();
-    world.parts.set(name, made);
-    return made;
+    const created = create();
+    world.parts.set(name, created);
+    return created;
 };
 
-/** How a call ended. */
+/** The outcome of a call: its value or its failure. */
 export type Ending<T> = { readonly value: T; readonly failure?: undefined; } | {
     readonly value?: undefined;
     readonly failure: Failure;
 };
 
 /**
- * Waits for a call's ending, good or bad.
+ * Waits for a call and returns its outcome instead of throwing.
  *
  * @example
  * const ending = await endingOf(jobs.submit(spec));
@@ -57,7 +59,7 @@
 };
 
 /**
- * Names an ending: the kind of its failure, or the word for success.
+ * Names the outcome of a call: the kind of its failure, `success` if it has none, `open` while there is no outcome.
  *
  * @example
  * kindOfEnding({ value: 1 }, "done"); // "done"
--- a/features/steps/tokenSteps.ts
+++ b/features/steps/tokenSteps.ts
@@ -1,3 +1,5 @@
+/** Steps that test the fencing tokens of an owner's orders and looks on one link to a worker, without a cell. */
+
 import { Then, When } from "@cucumber/cucumber";
 import {
     createFakeClock,
@@ -32,15 +34,16 @@
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
-    /** Tokens of what was sent, in order. */
+    /** Fencing tokens of the looks or starts that were sent, in order. */
     readonly tokens: number[];
-    /** Whether the owner took itself for replaced. */
+    /** Whether the link reported that the owner has been replaced. */
     fenced: boolean;
-    /** Orders and looks from the first start on, with their tokens. */
+    /** Starts and looks from the first start on, each with its token. */
     readonly sent: string[];
-    /** How long a worker had been back when a look reached it. */
-    metAfterMs: number | undefined;
-    takesStarts: boolean;
+    /** Time from the return of a worker to the first look that reached it. */
+    reachedAfterMs: number | undefined;
+    /** Whether the worker may get further starts. */
+    mayStart: boolean;
 }
 
 const part = (world: ScenarioWorld): Part =>
@@ -48,8 +51,8 @@
         tokens: [],
         sent: [],
         fenced: false,
-        metAfterMs: undefined,
-        takesStarts: false,
+        reachedAfterMs: undefined,
+        mayStart: false,
     }));
 
 const fencingToken = 7;
@@ -170,19 +173,20 @@
     },
 );
 
-/** Looks that a worker answers once it is back. */
-const lookOnceBack = (world: ScenarioWorld, clock: FakeClock, downMs: number): FencedWorkerPort["look"] =>
-async (
-    _target,
-    { waitMs },
-) => {
-    if (clock.monotonicMs() < downMs) {
-        return { outcome: "unknown" };
-    }
-    part(world).metAfterMs ??= clock.monotonicMs() - downMs;
-    await sleep(clock, Math.max(1, waitMs));
-    return { outcome: "done", clockMs: clock.monotonicMs(), running: [], ended: [] };
-};
+/** Makes the looks of a worker that answers none for `downMs` and all of them afterwards. */
+const answerLooksOnceBack =
+    (world: ScenarioWorld, clock: FakeClock, downMs: number): FencedWorkerPort["look"] =>
+    async (
+        _target,
+        { waitMs },
+    ) => {
+        if (clock.monotonicMs() < downMs) {
+            return { outcome: "unknown" };
+        }
+        part(world).reachedAfterMs ??= clock.monotonicMs() - downMs;
+        await sleep(clock, Math.max(1, waitMs));
+        return { outcome: "done", clockMs: clock.monotonicMs(), running: [], ended: [] };
+    };
 
 When(
     "a worker is down for {int} ms, and {int} starts there got no answer",
@@ -199,7 +203,7 @@
             delayedStarts,
             port: {
                 start: async () => "unknown",
-                look: lookOnceBack(this, clock, downMs),
+                look: answerLooksOnceBack(this, clock, downMs),
             },
         });
         await clock.advance(downMs + 1_000);
@@ -208,8 +212,8 @@
 );
 
 Then("a look reaches its next incarnation within {int} ms", function(this: ScenarioWorld, limitMs: number) {
-    const { metAfterMs } = part(this);
-    assert.ok(metAfterMs !== undefined && metAfterMs <= limitMs, `met after ${metAfterMs} ms`);
+    const { reachedAfterMs } = part(this);
+    assert.ok(reachedAfterMs !== undefined && reachedAfterMs <= limitMs, `reached after ${reachedAfterMs} ms`);
 });
 
 When(
@@ -226,7 +230,7 @@
             port: {
                 start: async (_target, order) => {
                     tokens.push(order.fencingToken);
-                    // The second look is lost meanwhile, and the third overtakes the start.
+                    // Meanwhile the second look is lost, and the third one arrives before the start.
                     await sleep(clock, 60);
                     return tokens.length === 1 ? "fenced" : "done";
                 },
@@ -306,19 +310,19 @@
     const listed = { taskName: run.task.name, run: run.run, checkpoint: "", percent: 100, figure: 1_000 };
     watch.take(worker, { outcome: "done", clockMs: 0, running: [listed], ended: [] }, clock.monotonicMs());
     run.phase = runPhases.starting;
-    part(this).takesStarts = allowsStart(worker);
+    part(this).mayStart = allowsStart(worker);
 });
 
 Then("the worker takes any number of starts again", function(this: ScenarioWorld) {
-    assert.equal(part(this).takesStarts, true);
+    assert.equal(part(this).mayStart, true);
 });
 
-Then("what is sent is {string}", function(this: ScenarioWorld, text: string) {
+Then("the calls sent are {string}", function(this: ScenarioWorld, text: string) {
     assert.equal(part(this).sent.join(", "), text);
 });
 
 When(
-    "a worker is down for {int} ms that has a former owner's run which no look has shown",
+    "a worker that has a former owner's run which no look has listed is down for {int} ms",
     async function(this: ScenarioWorld, downMs: number) {
         const clock = createFakeClock();
         const worker = newWorker(workerEntry("i-1", 1), 0);
@@ -327,7 +331,7 @@
             clock,
             worker,
             newestToken: () => fencingToken,
-            port: { start: async () => "unknown", look: lookOnceBack(this, clock, downMs) },
+            port: { start: async () => "unknown", look: answerLooksOnceBack(this, clock, downMs) },
         });
         await clock.advance(downMs + 1_000);
         link.close();
--- a/features/takeover.feature
+++ b/features/takeover.feature
@@ -1,6 +1,6 @@
-Feature: Taking over at a larger size
+Feature: Takeover of a shard in larger cells
 
-    Scenario: A weak VM leaves the shard to a strong one
+    Scenario: A strong VM takes over before a weak one
         Given a cell of daemons with strengths "0.2, 0.2, 0.2, 1, 1" and 4 workers
         When 4 jobs of steps "3, 4 after 0" are submitted
         And the shard runs for 500 ms
@@ -10,7 +10,7 @@
         And all jobs are "completed" within 20000 ms
         And no promise was broken
 
-    Scenario: After a loss of all VMs a strong one takes over
+    Scenario: After the loss of all VMs a strong one takes over
         Given a cell of daemons with strengths "0.2, 0.2, 0.2, 1, 1" and 4 workers
         When the fault "all killed" comes
         And the shard runs for 300 ms
@@ -18,7 +18,7 @@
         And the shard runs for 3000 ms
         Then no weak daemon has owned the shard since
 
-    Scenario: A weak VM owns the shard where no strong one is left, and gives it back
+    Scenario: A weak VM owns the shard while no strong one is left, and hands it over to a strong one later
         Given a cell of daemons with strengths "0.2, 0.2, 1" and 4 workers
         When the fault "owner killed" comes
         Then another daemon owns the shard within 4500 ms
@@ -29,7 +29,7 @@
         Then all jobs are "completed" within 5000 ms
         And no promise was broken
 
-    Scenario: A restore gets on over a thin link
+    Scenario: A restore makes progress over a slow link
         Given a cell of 3 daemons and 4 workers
         When 300 jobs of steps "1 long running" are submitted
         And the shard runs for 3000 ms
@@ -37,15 +37,15 @@
         And the fault "owner killed" comes
         Then another daemon owns the shard within 6000 ms
 
-    Scenario: Nobody tells too small a count of waiting jobs while a claimant reads the journal
+    Scenario: No daemon reports too small a count of waiting jobs while a claimant reads the journal
         Given a cell of 3 daemons and 4 workers
         When 300 jobs of steps "1 long running" are submitted
         And the shard runs for 3000 ms
         And all links to the store carry 100 bytes a ms
         And the fault "owner killed" comes
-        Then for 6000 ms no daemon says that fewer than 200 jobs wait
+        Then for 6000 ms no daemon reports that fewer than 200 jobs wait
 
-    Scenario: A claimant that does not get on gives way
+    Scenario: A claimant that makes no progress gives its claim up
         Given a cell of 3 daemons and 4 workers
         When 300 jobs of steps "1 long running" are submitted
         And the shard runs for 3000 ms
@@ -55,13 +55,13 @@
         And the other daemons can claim again
         Then a daemon owns the shard within 6000 ms
 
-    Scenario: An owner that falls silent is replaced soon
+    Scenario: An owner that stops answering is replaced soon
         Given a cell of 4 daemons and 4 workers
         When the shard runs for 500 ms
         And the fault "owner cut from its peers, the store, workers" comes
         Then another daemon owns the shard within 800 ms
 
-    Scenario Outline: An owner that is lost when the store comes back is replaced soon, <ms> ms after the store fell silent
+    Scenario Outline: An owner that is lost right after an outage of the store of <ms> ms is replaced soon
         Given a cell of 4 daemons and 4 workers
         When the fault "store hangs" comes
         And 2 jobs of steps "2" are submitted
@@ -79,27 +79,27 @@
             | 2900 |
             | 3200 |
 
-    Scenario: A request that hangs at a lost owner goes to the next one
+    Scenario: A request that hangs at a lost owner is forwarded to its successor
         When a request hangs at its owner, and the shard has another owner after 100 ms
         Then it is answered by the next owner after 100 ms
 
-    # Users saw no request served for 15 s after all VMs were back. While the store answers each call in a quarter of a second,
-    # each daemon that claims learns last that its own claim took effect: its peers know the row before, hear from it that it
-    # owns nothing, and claim in turn, and all their claims queue in the store.
-    Scenario: After a loss of all VMs the shard has an owner soon, also while the store is slow
-        Given a cell of 32 daemons, each fifth of them strong, and 350 workers
+    # Guards against an outage of 15 s after all VMs have come back. While the store takes a quarter of a second for each
+    # call, a daemon that claims is the last to learn that its own claim took effect: its peers still hold the previous row,
+    # are told by the claimant that it owns nothing, and claim in turn, so that all claims queue in the store.
+    Scenario: After the loss of all VMs the shard has an owner soon, even while the store is slow
+        Given a cell of 32 daemons, every fifth of them strong, and 350 workers
         When 350 jobs of steps "1 long running" are submitted
         And the shard runs for 3000 ms
         And the fault "all killed, store slow" comes
         And the shard runs for 2700 ms
         And all daemons are back
         Then a daemon owns the shard within 6000 ms
-        And the shard was claimed 2 times at most
+        And the shard was claimed at most 2 times
         And no promise was broken
 
-    Scenario Outline: A journal of <jobs> jobs is restored soon by a store that is slow, also where a page failed before
+    Scenario Outline: A journal of <jobs> jobs is restored soon from a slow store, also after a page could not be read
         Given a cell of 4 daemons and 4 workers
-        When the journal holds <jobs> jobs that go on and <ended> that have ended
+        When the journal holds <jobs> unfinished jobs and <ended> that have ended
         And the owner is killed, and from the first page that its successor reads the store is down for <downMs> ms and then slow
         Then a daemon owns the shard within <ownMs> ms
         And a job is accepted within <acceptMs> ms
@@ -110,25 +110,25 @@
             | 350  | 0     | 1500   | 6000  | 2000     |
             | 10   | 3000  | 0      | 3000  | 4000     |
 
-    Scenario: A list of 350 workers is read over a link on which it takes longer than one read may
+    Scenario: A list of 350 workers is read over a link on which it takes longer than the time limit of one read
         Given a cell of 3 daemons and 350 workers
         When all links to the store carry 60 bytes a ms
         And the fault "owner killed" comes
         Then another daemon owns the shard within 2000 ms
         And the owner knows 350 workers within 15000 ms
 
-    Scenario: A claimant that gets on at a crawl gives way
+    Scenario: A claimant that makes very slow progress gives its claim up
         Given a cell of 4 daemons and 4 workers
-        When the journal holds 1000 jobs that go on and 0 that have ended
+        When the journal holds 1000 unfinished jobs and 0 that have ended
         And the link of the next claimant carries 20 bytes a ms, and no other daemon can claim
         And the fault "owner killed" comes
         And the shard runs for 2500 ms
         And the other daemons can claim again
         Then a daemon owns the shard within 8000 ms
 
-    Scenario: A daemon that gave a restore up is ready as soon as another owns the shard
+    Scenario: A daemon that gave up a restore is ready as soon as another daemon owns the shard
         Given a cell of 4 daemons and 4 workers
-        When the journal holds 1000 jobs that go on and 0 that have ended
+        When the journal holds 1000 unfinished jobs and 0 that have ended
         And the link of the next claimant carries 10 bytes a ms, and no other daemon can claim
         And the fault "owner killed" comes
         And the shard runs for 2500 ms
@@ -136,22 +136,23 @@
         Then a daemon owns the shard within 6000 ms
         And all daemons that run are ready within 600 ms
 
-    # Nobody has answered a daemon that has just started, so that none knew of others before it, and all strong ones claimed at once.
-    Scenario Outline: Daemons that come back together claim in turn, the store being <store>
-        Given a cell of 32 daemons, each fifth of them strong, and 20 workers
+    # A daemon that has just started has not been answered by any peer yet. Without an order of claims among such daemons,
+    # all strong ones would claim at the same time.
+    Scenario Outline: Daemons that come back together claim one after another, with a store that is <store>
+        Given a cell of 32 daemons, every fifth of them strong, and 20 workers
         When the fault "<faults>" comes
         And the shard runs for 2700 ms
         And all daemons but the former owner are back
         Then a daemon owns the shard within 4000 ms
-        And 2 daemons at most began a claim
+        And at most 2 daemons began a claim
 
         Examples:
             | store | faults                |
             | well  | all killed             |
             | slow  | all killed, store slow |
 
-    # A daemon that knows no others takes itself for the strongest, and nobody tells it that the owner is well.
-    Scenario: A weak VM that has not read who else there is claims no shard
+    # A daemon that knows no other members ranks itself as the strongest, and no peer can tell it that the owner is healthy.
+    Scenario: A weak VM that has not read the table of members does not claim the shard
         Given a cell of daemons with strengths "0.2, 0.2, 0.2, 1, 1" and 4 workers
         When the fault "all killed" comes
         And the shard runs for 300 ms
@@ -163,27 +164,27 @@
         Then a daemon owns the shard within 3000 ms
         And no weak daemon has owned the shard since
 
-    Scenario: A daemon that cannot read who else there is claims the shard in the end
+    Scenario: A daemon that cannot read the table of members claims the shard eventually
         Given a cell of 3 daemons and 4 workers
         When the fault "all killed" comes
         And the table of members cannot be read
         And all daemons but the former owner are back
         Then a daemon owns the shard within 6000 ms
 
-    Scenario: Each daemon tells why it is not ready, and for how long no owner was at work
+    Scenario: Each daemon logs why it is not ready and for how long the shard had no working owner
         Given a cell of 4 daemons and 4 workers
         When the fault "owner killed, store hangs" comes
         And the shard runs for 5000 ms
         Then each other daemon has logged "notReady" 1 time, at last with "reason" "ownerSilent"
         And each other daemon has logged "withoutOwner" 3 times, at last with "doing" "storeSilent"
-        And each other daemon has logged "ownerSilent" 8 times at most
+        And each other daemon has logged "ownerSilent" at most 8 times
         When the fault goes
         And the shard runs for 2000 ms
         Then each other daemon has logged "ready" 1 time, at last with "reason" ""
         And each other daemon has logged "ownerAtWork" 1 time, at last with "reason" ""
 
-    Scenario Outline: A job is accepted soon after all of 32 VMs lost power and the store failed while they came back, seed <seed>
-        When the power loss of seed <seed> is explored
+    Scenario Outline: A job is accepted soon after all 32 VMs lost power and the store failed during their return, seed <seed>
+        When the power loss of seed <seed> is simulated
         Then a job is accepted at most 4000 ms after the last fault, and no promise was broken
 
         Examples:
@@ -196,10 +197,11 @@
             | 9074 |
             | 31018 |
 
-    # A try that waited in the store's queue took effect after its claim had been given up, and the shard had an owner that did not know it.
-    Scenario Outline: A claim that takes effect after it was given up is taken up, in a cell of <members>
+    # Guards against a shard whose owner does not know that it is the owner: the transaction of a claim waits in the store's
+    # queue and takes effect after the claimant has given the claim up.
+    Scenario Outline: A claim that takes effect after it was given up is still used, in a cell of <members>
         Given a cell of <members> daemons and 2 workers
-        When the owner is killed while the store is slow and others keep its queue full until 300 ms after the first claim
+        When the owner is killed while the store is slow and another writer keeps its queue full until 300 ms after the first claim
         Then a daemon owns the shard within 2500 ms
 
         Examples:
@@ -207,8 +209,8 @@
             | 2       |
             | 3       |
 
-    # Entries of VMs that are gone for good stay in the store.
-    Scenario Outline: VMs that were gone a minute ago hold no takeover up: <gone> of <strengths>
+    # The entries of VMs that never come back stay in the store.
+    Scenario Outline: VMs that have been gone for a minute do not delay a takeover: <gone> of <strengths>
         Given a cell of daemons with strengths "<strengths>" and 4 workers
         When the daemons <gone> are gone for good
         And the shard runs for 70000 ms
@@ -220,25 +222,26 @@
             | 0, 1, 2, 3, 4, 5 | 1, 1, 1, 1, 1, 1, 1, 1, 1                 |
             | 0, 1, 2          | 1, 1, 1, 0.2, 0.2, 0.2, 0.2, 0.2, 0.2     |
 
-    # Each owner in a row that was replaced soon doubles the time for which the next may be silent. That time is never
-    # taken back while an owner stays in office, so that long after the cascade a real loss is noticed late.
-    Scenario: An owner that has been at work for a minute is missed as soon as any other
+    # Each owner that is replaced soon after its claim doubles the time for which the next owner may be silent. If that time
+    # is not reset while an owner stays in office, a real loss long after such a series is noticed late.
+    Scenario: The loss of an owner that has worked for a minute is noticed as soon as that of any other
         Given a cell of 6 daemons and 4 workers
         When three owners are cut off, each soon after its claim
         And the shard runs for 60000 ms
         And the fault "owner cut from its peers, the store, workers" comes
         Then another daemon owns the shard within 2000 ms
 
-    # Each candidate before a daemon costs it four answers of the store, up to a second, though it may not be able to claim.
-    Scenario: While the store is slow and refuses most daemons, the one that it serves takes over soon
+    # A daemon waits up to a second, four answers of the store, for each candidate that ranks before it, even if that
+    # candidate cannot claim.
+    Scenario: While the store is slow and refuses most daemons, the one that it still serves takes over soon
         Given a cell of 32 daemons and 4 workers
-        When the store is slow and serves but the owner and one other daemon
+        When the store is slow and serves only the owner and one other daemon
         And the fault "owner killed" comes
         Then another daemon owns the shard within 5000 ms
 
-    # An owner that was cut off from its peers ran out of memory: each ping without an answer began the next round of pings, and 110 MB of
-    # them were under way three seconds after the cut.
-    Scenario Outline: An owner that loses <others> pings its peers at the usual pace, in a cell of <members>
+    # Guards against running out of memory: each unanswered ping started the next round of pings, so that an owner that was
+    # cut off from its peers had 110 MB of pings in flight three seconds after the cut.
+    Scenario Outline: An owner that loses <others> pings its peers at the usual rate, in a cell of <members>
         Given a cell of <members> daemons and 4 workers
         When <others> lose power
         Then no daemon sends more than 70 calls to its peers in any 500 ms of 3000 ms
@@ -250,11 +253,11 @@
             | 34      | half of the others       |
             | 97      | all others               |
 
-    # Each daemon that pings all others costs every one of them more with each VM that is added: 5,280 calls a second at 97.
-    Scenario Outline: What the daemons of a cell of <members> have to do with each other does not grow with the cell
+    # If every daemon pings every other one, each added VM adds load to all of them: 5,280 calls per second with 97 daemons.
+    Scenario Outline: The rate of calls between daemons does not grow with the cell, <members> daemons
         Given a cell of <members> daemons and 4 workers
         When 3 jobs of steps "2" are submitted
-        Then in 10000 ms each other daemon has 26 calls a second at most with its peers, and the owner 200
+        Then in 10000 ms each other daemon has at most 26 calls per second with its peers, and the owner 200
 
         Examples:
             | members |
@@ -263,14 +266,14 @@
             | 97      |
             | 300     |
 
-    Scenario: Every daemon of a large cell knows how many jobs wait
+    Scenario: Every daemon of a large cell reports how many jobs wait
         Given a cell of 97 daemons and 4 workers
         When 3 jobs of steps "1" are submitted
         And the shard runs for 5000 ms
-        Then all daemons tell within 100 ms that 0 jobs wait
+        Then all daemons report within 100 ms that 0 jobs wait
 
     Scenario Outline: The owner of a large cell is replaced as soon as that of a small one, <fault>
-        Given a cell of 97 daemons, each fifth of them strong, and 20 workers
+        Given a cell of 97 daemons, every fifth of them strong, and 20 workers
         When the fault "<fault>" comes
         Then another daemon owns the shard within <ms> ms
 
@@ -280,12 +283,13 @@
             | owner cut from its peers, the store, workers | 1200 |
             | owner and a third of the others killed       | 1200 |
 
-    # Callers of a data centre that is cut off go to another one once its daemons say that they are not ready.
-    Scenario Outline: Daemons of a large cell that are cut off say soon that they are not ready, after <ms> ms
-        Given a cell of 97 daemons, each fifth of them strong, and 20 workers
+    # Callers in a data centre that is cut off switch to another one once the daemons of their own report that they are not
+    # ready.
+    Scenario Outline: Daemons of a large cell soon report not ready when they are cut off, after <ms> ms
+        Given a cell of 97 daemons, every fifth of them strong, and 20 workers
         When the shard runs for <ms> ms
         And the fault "a fifth of the others cut off" comes
-        Then those that are cut off are not ready within 1100 ms
+        Then the daemons that are cut off are no longer ready after 1100 ms
         And no other daemon has logged "notReady"
 
         Examples:
@@ -296,20 +300,21 @@
             | 1600 |
             | 2000 |
 
-    Scenario: Every daemon of a large cell knows soon that a new owner is at work
-        Given a cell of 97 daemons, each fifth of them strong, and 20 workers
+    Scenario: Every daemon of a large cell learns soon of a new owner
+        Given a cell of 97 daemons, every fifth of them strong, and 20 workers
         When the fault "owner killed" comes
         And the shard runs for 3000 ms
         Then no other daemon has logged "withoutOwner"
 
-    Scenario: A ping that is lost says nothing of a daemon that has answered a later one
+    Scenario: A lost ping does not make a peer count as silent if it has answered a later ping
         When a ping of a peer is lost, and one that was sent 100 ms later is answered at once
         Then the peer is not silent
 
-    # A daemon that pings the owner less often than the store may be away and back knew nothing of the outage, took the owner's
-    # last moments without commits for its own fault, and claimed: a weak VM restored for 1.6 s, and three more owners followed.
-    Scenario Outline: An outage of <ms> ms costs a cell of <members> no takeover
-        Given a cell of <members> daemons, each fifth of them strong, and 20 workers
+    # A daemon that pings the owner at longer intervals than an outage of the store lasts does not notice the outage. It
+    # takes the lack of commits during the outage for a fault of the owner and claims: a weak VM restored the shard for 1.6
+    # s, and three more owners followed.
+    Scenario Outline: An outage of the store of <ms> ms causes no takeover in a cell of <members>
+        Given a cell of <members> daemons, every fifth of them strong, and 20 workers
         When 6 jobs of steps "2" are submitted
         And the fault "<fault>" comes
         And 6 jobs of steps "2" are submitted
@@ -332,16 +337,16 @@
             | 97      | 5500 | store refuses |
             | 97      | 6000 | store hangs   |
 
-    Scenario: A daemon that hears no peer leaves the shard to an owner that goes on committing
+    Scenario: A daemon that reaches no peer does not claim the shard while the owner keeps committing
         Given a cell of 6 daemons and 4 workers
         When 200 jobs of steps "4" are submitted
         And the shard runs for 500 ms
         And the fault "another cut from its peers" comes
         And the shard runs for 10000 ms
-        Then 0 daemons at most began a claim
+        Then at most 0 daemons began a claim
         And no promise was broken
 
-    Scenario: A daemon that hears no peer takes over from an owner that is lost with all others
+    Scenario: A daemon that reaches no peer takes over if the owner and all other daemons are lost
         Given a cell of 6 daemons and 4 workers
         When 20 jobs of steps "4" are submitted
         And the shard runs for 500 ms
@@ -350,8 +355,8 @@
         And all jobs are "completed" within 30000 ms
         And no promise was broken
 
-    Scenario Outline: After a loss of all VMs daemons on thin links get a configuration of <queues> queues
-        Given a cell of 34 daemons, each fifth of them strong and the others on thin links, 20 workers and a configuration of <queues> queues
+    Scenario Outline: After the loss of all VMs daemons on slow links get a configuration of <queues> queues
+        Given a cell of 34 daemons, every fifth of them strong, the others on slow links, 20 workers and a configuration of <queues> queues
         When 200 jobs of steps "4" are submitted
         And the shard runs for 2000 ms
         And the fault "all killed" comes
@@ -360,7 +365,7 @@
         Then a daemon owns the shard within 2000 ms
         And all daemons that run are ready within <readyMs> ms
         And no weak daemon has owned the shard since
-        And the shard was claimed 1 times at most
+        And the shard was claimed at most 1 times
         And no promise was broken
 
         Examples:
@@ -369,10 +374,10 @@
             | 2800   | 5000    |
             | 5600   | 10000   |
 
-    Scenario: Daemons on thin links that the store refuses get a configuration of 2800 queues from their peers
-        Given a cell of 34 daemons, each fifth of them strong and the others on thin links, 20 workers and a configuration of 2800 queues
+    Scenario: Daemons on slow links that the store refuses get a configuration of 2800 queues from their peers
+        Given a cell of 34 daemons, every fifth of them strong, the others on slow links, 20 workers and a configuration of 2800 queues
         When the shard runs for 3000 ms
-        And the store refuses 9 of the daemons on thin links
+        And the store refuses 9 of the daemons on slow links
         And the shard runs for 3000 ms
         And the configuration changes
         And the shard runs for 5000 ms
