--- a/features/steps/shardCellPart.ts
+++ b/features/steps/shardCellPart.ts
@@ -15,6 +15,7 @@
 interface Part {
     /** Undefined until a step starts the cell. */
     cell: ShardCell | undefined;
+    /** Records tasks that wait although workers have room for them. */
     watch: StandingWatch | undefined;
     /** IDs of the jobs that steps have submitted. */
     jobs: string[];
@@ -25,6 +26,7 @@
     faultAtMs: number;
     /** Owner when the newest fault began. */
     formerOwner: string | undefined;
+    /** ID of the draining worker, empty if there is none. */
     drainingWorker: string;
     /** Strength of each daemon, in the order of their IDs. */
     strengths: readonly number[];
@@ -58,7 +60,7 @@
     partOf(
         world,
         "shard",
-        () => ({
+        (): Part => ({
             cell: undefined,
             watch: undefined,
             jobs: [],
--- a/features/takeover.feature
+++ b/features/takeover.feature
@@ -311,8 +311,8 @@
         Then the peer is not silent
 
     # A daemon that pings the owner at longer intervals than an outage of the store lasts does not notice the outage. It
-    # takes the lack of commits during the outage for a fault of the owner and claims: a weak VM restored the shard for 1.6
-    # s, and three more owners followed.
+    # takes the lack of commits during the outage for a fault of the owner and claims. In one case a weak VM restored the
+    # shard for 1.6 s, and three more owners followed.
     Scenario Outline: An outage of the store of <ms> ms causes no takeover in a cell of <members>
         Given a cell of <members> daemons, every fifth of them strong, and 20 workers
         When 6 jobs of steps "2" are submitted
