--- a/features/steps/examples/coordination.ts
+++ b/features/steps/examples/coordination.ts
@@ -1,4 +1,4 @@
-/** Examples of the parts that coordinate, over the stand-in of the platform and a fake clock. */
+/** Runnable examples of the modules that coordinate daemons, on a simulated platform and a fake clock. */
 
 import {
     createCell,
@@ -32,16 +32,16 @@
 const log = { write: () => {} };
 const meter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
 const random = createSeededRandom(1);
-const idle: UnitKeeper = { gain: async () => {}, yield: async () => {} };
+const noopKeeper: UnitKeeper = { gain: async () => {}, yield: async () => {} };
 
-const platformOn = (clock: FakeClock): Platform =>
+const createTestPlatform = (clock: FakeClock): Platform =>
     createPlatform(clock, random, { ...defaultPlatformLimits, vmListLagMs: 0 });
 
 const journal = async (): Promise<string> => {
     const clock = createFakeClock();
-    const { table } = platformOn(clock);
+    const { table } = createTestPlatform(clock);
     const fence = await table.transact({ conditions: [], puts: [{ key: "home", value: {} }], deletes: [] });
-    const book = createJournal({
+    const homeJournal = createJournal({
         table,
         clock,
         log,
@@ -56,7 +56,7 @@
         maxPendingEntries: 100,
     });
     const appended = [0, 1].map(index =>
-        book.append([{ kind: "jobCancelled", jobId: `job-${index}`, cancelledAtMs: 0 }], false)
+        homeJournal.append([{ kind: "jobCancelled", jobId: `job-${index}`, cancelledAtMs: 0 }], false)
     );
     await Promise.all(appended);
     return `${(await replay(table, "home-1", 0)).records.length} records replayed`;
@@ -91,7 +91,7 @@
 
 const ownership = async (): Promise<string> => {
     const clock = createFakeClock();
-    const platform = platformOn(clock);
+    const platform = createTestPlatform(clock);
     platform.setVms([
         { vmId: "vm-1", role: "entry", dataCentre: "leon-feria", address: "", leaving: false },
         { vmId: "w1", role: "worker", dataCentre: "leon-feria", address: "", leaving: false, rack: "r1" },
@@ -101,7 +101,7 @@
     const dataCentre = "leon-feria";
     const common = { table, vmList, clock, log, meter, membership: known, dataCentre };
     const session = createSession({ ...common, vmId: "vm-1", sessionLeaseMs: 6_000, renewIntervalMs: 1_500 });
-    const keepers = { rack: idle, upstream: idle, home: idle };
+    const keepers = { rack: noopKeeper, upstream: noopKeeper, home: noopKeeper };
     const own = createOwnership({ ...common, session, deathGraceMs: 3_000, keepers });
     await session.open("http://127.0.0.1:7100");
     await own.refresh();
@@ -110,11 +110,11 @@
 
 const configurationStore = async (): Promise<string> => {
     const clock = createFakeClock();
-    const { table } = platformOn(clock);
-    const make = () => createConfigurationStore({ table, clock, log, onAdopted: () => {} });
-    await make().apply(initialDocument, { expectedVersion: 0, author: "ana", reason: "first" });
+    const { table } = createTestPlatform(clock);
+    const createStore = () => createConfigurationStore({ table, clock, log, onAdopted: () => {} });
+    await createStore().apply(initialDocument, { expectedVersion: 0, author: "ana", reason: "first" });
     try {
-        await make().apply(initialDocument, { expectedVersion: 0, author: "kwame", reason: "too late" });
+        await createStore().apply(initialDocument, { expectedVersion: 0, author: "kwame", reason: "too late" });
         return "no conflict";
     }
     catch (error) {
@@ -125,7 +125,7 @@
 
 const requestClaims = async (): Promise<string> => {
     const clock = createFakeClock();
-    const { table } = platformOn(clock);
+    const { table } = createTestPlatform(clock);
     const claims = createRequestClaims({
         table,
         clock,
@@ -210,6 +210,7 @@
     return (await daemon?.node.jobs.task("load-in-7/0"))?.state ?? "unknown";
 };
 
+/** The examples by module name; each returns a line that the feature compares. */
 export const coordinationExamples = {
     journal,
     membership,
--- a/features/steps/examples/decisions.ts
+++ b/features/steps/examples/decisions.ts
@@ -1,4 +1,4 @@
-/** Examples of the parts that decide; each is a complete embedding of one module. */
+/** Runnable examples of the modules that make decisions; each sets up one module without the rest of a daemon. */
 
 import {
     checkJobSpec,
@@ -30,21 +30,21 @@
 };
 
 const ledger = (): string => {
-    const book = createLedger();
-    book.addWorker("w1", "r1", size);
-    book.setOpen("w1", true);
-    const first = book.reserve("w1", "a1", size);
-    const second = book.reserve("w1", "a2", size);
+    const workerLedger = createLedger();
+    workerLedger.addWorker("w1", "r1", size);
+    workerLedger.setOpen("w1", true);
+    const first = workerLedger.reserve("w1", "a1", size);
+    const second = workerLedger.reserve("w1", "a2", size);
     return `${first ? "reserved" : "refused"}, then ${second ? "reserved" : "refused"}`;
 };
 
 const placementExample = (): string => {
-    const book = createLedger();
+    const workerLedger = createLedger();
     for (const [workerId, cpuMillis] of [["a", 4_000], ["b", 1_500]] as const) {
-        book.addWorker(workerId, "r1", { ...size, cpuMillis });
-        book.setOpen(workerId, true);
+        workerLedger.addWorker(workerId, "r1", { ...size, cpuMillis });
+        workerLedger.setOpen(workerId, true);
     }
-    return placements.bestFit({ ledger: book, size, random, sampleSize: 2, avoid: new Set() }).worker?.workerId
+    return placements.bestFit({ ledger: workerLedger, size, random, sampleSize: 2, avoid: new Set() }).worker?.workerId
         ?? "none";
 };
 
@@ -86,11 +86,11 @@
 };
 
 const rooms = (): string => {
-    const known = [
+    const ownerRooms = [
         { sessionId: "owner-1", near: true, free: size, mostFree: { ...size, cpuMillis: 100 } },
         { sessionId: "owner-2", near: false, free: size, mostFree: size },
     ];
-    return createRooms(known, random).choose(size, "bestFit") ?? "none";
+    return createRooms(ownerRooms, random).choose(size, "bestFit") ?? "none";
 };
 
 const jobSpec = (): string => {
@@ -117,6 +117,7 @@
         workloadClasses: initialDocument.workloadClasses.filter(each => each.name !== "batch"),
     });
 
+/** The examples by module name; each returns a line that the feature compares. */
 export const decisionExamples = {
     ledger,
     placements: placementExample,
--- a/features/steps/examples/ownership.ts
+++ b/features/steps/examples/ownership.ts
@@ -1,4 +1,4 @@
-/** Examples of the parts around homes, rack owners and sessions. */
+/** Runnable examples of the modules for homes, rack owners and sessions. */
 
 import {
     createFakeClock,
@@ -67,7 +67,7 @@
     atMostOnce: false,
     payload: "",
 };
-const parts = {
+const attemptSpec = {
     attemptId: "a1",
     taskId: "load-in-7/0",
     size,
@@ -77,13 +77,14 @@
     preemptible: true,
 };
 
+/** The simulated clock, platform and membership view (`known`) that an example needs. */
 interface Surroundings {
     readonly clock: FakeClock;
     readonly platform: Platform;
     readonly known: Membership;
 }
 
-const surround = (): Surroundings => {
+const createSurroundings = (): Surroundings => {
     const clock = createFakeClock();
     const platform = createPlatform(clock, random, { ...defaultPlatformLimits, vmListLagMs: 0 });
     platform.setVms([{ vmId: "vm-1", role: "entry", dataCentre, address: "", leaving: false }, workerVm]);
@@ -110,12 +111,12 @@
 };
 
 const session = async (): Promise<string> => {
-    const own = await openSession(surround());
+    const own = await openSession(createSurroundings());
     return `${own.id()} ${own.mayAct() ? "may act" : "may not act"}`;
 };
 
 const deputy = (): string => {
-    const { clock, platform, known } = surround();
+    const { clock, platform, known } = createSurroundings();
     const other: SessionRow = {
         sessionId: "vm-2~1",
         vmId: "vm-2",
@@ -143,7 +144,7 @@
     return `promises ${own.promise("vm-2~1")} ms`;
 };
 
-const ownedWorker = (): OwnedWorker => ({
+const createOwnedWorker = (): OwnedWorker => ({
     vm: workerVm,
     rackKey: "unit/rack/leon-feria/r1",
     state: "live",
@@ -157,18 +158,18 @@
     loop: undefined,
 });
 
-const trackOne = (): { readonly attempt: Attempt; readonly worker: OwnedWorker; } => {
-    const worker = ownedWorker();
+const trackAttempt = (): { readonly attempt: Attempt; readonly worker: OwnedWorker; } => {
+    const worker = createOwnedWorker();
     return {
         worker,
-        attempt: createAttempts(createFakeClock(), createLedger()).track(worker, parts, "home-1", "reserved"),
+        attempt: createAttempts(createFakeClock(), createLedger()).track(worker, attemptSpec, "home-1", "reserved"),
     };
 };
 
-const attempts = (): string => `${trackOne().attempt.attemptId} is ${trackOne().attempt.state}`;
+const attempts = (): string => `${trackAttempt().attempt.attemptId} is ${trackAttempt().attempt.state}`;
 
 const reportOutbox = async (): Promise<string> => {
-    const { attempt } = trackOne();
+    const { attempt } = trackAttempt();
     attempt.report = { attemptId: "a1", taskId: "load-in-7/0", outcome: "completed", result: "", checkpoint: "" };
     const settled: string[] = [];
     const outbox = createReportOutbox({
@@ -188,20 +189,20 @@
     const table = createAttempts(createFakeClock(), ledger);
     const running = [{ attemptId: "a1", taskId: "load-in-7/0", homeId: "home-1", size, used: size }];
     const report = { nowMs: 0, bootId: "b", version: 1, complete: true, running, gone: [], ended: [] };
-    readReport({ ledger, attempts: table, onRunning: () => {}, onEnded: () => {} }, ownedWorker(), report, 0);
+    readReport({ ledger, attempts: table, onRunning: () => {}, onEnded: () => {} }, createOwnedWorker(), report, 0);
     return `a1 holds ${ledger.worker("w1")?.reserved.cpuMillis} cpuMillis`;
 };
 
 const quarantine = (): string => {
-    const trust = createQuarantine({
+    const workerQuarantine = createQuarantine({
         clock: createFakeClock(),
         failures: 3,
         jobs: 2,
         firstProbeMs: 10_000,
         maxProbeMs: 300_000,
     });
-    ["job-1", "job-1", "job-2"].forEach(jobId => trust.noteFailure("w1", jobId));
-    return trust.trust("w1");
+    ["job-1", "job-1", "job-2"].forEach(jobId => workerQuarantine.noteFailure("w1", jobId));
+    return workerQuarantine.trust("w1");
 };
 
 const usage = (): string => {
@@ -212,9 +213,9 @@
 };
 
 const earmarks = (): string => {
-    const marks = createEarmarks({ clock: createFakeClock(), keptMs: 10_000, oneInWorkers: 4 });
-    marks.keep("load-in-7/0", "w1", 8, 0);
-    return `${marks.workersFor("load-in-7/0").join(", ")} is kept`;
+    const workerEarmarks = createEarmarks({ clock: createFakeClock(), keptMs: 10_000, oneInWorkers: 4 });
+    workerEarmarks.keep("load-in-7/0", "w1", 8, 0);
+    return `${workerEarmarks.workersFor("load-in-7/0").join(", ")} is kept`;
 };
 
 const bucket = (): string => {
@@ -222,7 +223,7 @@
     return [tokens.take(), tokens.take(), tokens.take()].join(", ");
 };
 
-const queuedTask = () => {
+const createQueuedTask = () => {
     const state = createHomeState();
     state.apply({ kind: "jobAccepted", spec, acceptedAtMs: 0 });
     const task = state.task("load-in-7/0");
@@ -234,11 +235,11 @@
 
 const outcomes = (): string => {
     const report = { attemptId: "a1", taskId: "load-in-7/0", outcome: "lapsed", result: "", checkpoint: "" } as const;
-    return recordFor(queuedTask().task, report, { nowMs: 0, workloadClass: batch, result: {} }).kind;
+    return recordFor(createQueuedTask().task, report, { nowMs: 0, workloadClass: batch, result: {} }).kind;
 };
 
 const placer = async (): Promise<string> => {
-    const { task } = queuedTask();
+    const { task } = createQueuedTask();
     const queue = createTaskQueue();
     queue.push({
         tasks: [task],
@@ -271,20 +272,20 @@
 };
 
 const snapshots = async (): Promise<string> => {
-    const { platform: { table, objects } } = surround();
+    const { platform: { table, objects } } = createSurroundings();
     const put = await table.transact({ conditions: [], puts: [{ key: "unit", value: {} }], deletes: [] });
     const fence = { key: "unit", version: put.outcome === "committed" ? put.version : 0 };
     await saveSnapshot({ table, objects, homeId: "home-1", fence }, {
-        snapshot: queuedTask().state.snapshot(),
+        snapshot: createQueuedTask().state.snapshot(),
         nextSequence: 5,
     });
     const loaded = await loadSnapshot(table, objects, "home-1");
     return `${loaded.snapshot.length} job up to batch ${loaded.nextSequence}`;
 };
 
-const makeHomes = async (around: Surroundings): Promise<{ readonly homes: Homes; readonly own: Session; }> => {
-    const { clock, platform: { table, objects }, known } = around;
-    const own = await openSession(around);
+const makeHomes = async (surroundings: Surroundings): Promise<{ readonly homes: Homes; readonly own: Session; }> => {
+    const { clock, platform: { table, objects }, known } = surroundings;
+    const own = await openSession(surroundings);
     const key = `unit/home/${dataCentre}/${own.id()}`;
     const unit = { key, kind: "home", dataCentre, name: own.id(), owner: own.id() } as const;
     const put = await table.transact({ conditions: [], puts: [{ key, value: unit }], deletes: [] });
@@ -340,23 +341,24 @@
     return { homes, own };
 };
 
-const homesExample = async (): Promise<string> => `${(await makeHomes(surround())).homes.held().length} home is held`;
+const homesExample = async (): Promise<string> =>
+    `${(await makeHomes(createSurroundings())).homes.held().length} home is held`;
 
 const home = async (): Promise<string> => {
-    const around = surround();
-    const { homes } = await makeHomes(around);
+    const surroundings = createSurroundings();
+    const { homes } = await makeHomes(surroundings);
     const accepted = homes.own()?.submit(spec);
-    await around.clock.advance(10);
+    await surroundings.clock.advance(10);
     return `${(await accepted)?.spec.jobId} is accepted`;
 };
 
 const jobs = async (): Promise<string> => {
-    const around = surround();
-    const { homes, own } = await makeHomes(around);
+    const surroundings = createSurroundings();
+    const { homes, own } = await makeHomes(surroundings);
     const configuration = { version: 0, document: initialDocument, author: "", reason: "", acceptedAtMs: 0 };
     const calls = createJobs({
-        table: around.platform.table,
-        membership: around.known,
+        table: surroundings.platform.table,
+        membership: surroundings.known,
         homes,
         configuration: () => configuration,
         vms: () => [workerVm],
@@ -366,12 +368,12 @@
         callAll: async () => ({ answers: [], unreachable: [] }),
     });
     const first = calls.submit(spec);
-    await around.clock.advance(10);
+    await surroundings.clock.advance(10);
     return (await first).homeId === (await calls.submit(spec)).homeId ? "the same answer twice" : "another answer";
 };
 
 const rackOwner = async (): Promise<string> => {
-    const { clock, platform, known } = surround();
+    const { clock, platform, known } = createSurroundings();
     known.setListing(await platform.vmList.list());
     const worker = createWorker(clock, "w1", capacity);
     const port: WorkerPort = {
@@ -408,14 +410,14 @@
         version: 1,
     });
     await clock.advance(100);
-    const offer = { ...parts, policy: "pack", waitedMs: 0, keepKey: parts.taskId, gang: false, avoid: [] };
+    const offer = { ...attemptSpec, policy: "pack", waitedMs: 0, keepKey: attemptSpec.taskId, gang: false, avoid: [] };
     const placements = owner.place({ homeId: "home-1", homeVersion: 1, offers: [offer] });
     const states = await owner.start({ homeId: "home-1", homeVersion: 1, attempts: placements });
     return `${states["a1"]} on ${placements[0]?.workerId}`;
 };
 
 const homeRecovery = async (): Promise<string> => {
-    const { platform, known } = surround();
+    const { platform, known } = createSurroundings();
     known.setListing(await platform.vmList.list());
     const key = "unit/rack/leon-feria/r1";
     const owner: SessionRow = {
@@ -444,7 +446,7 @@
 };
 
 const attemptOwners = (): string => {
-    const { known } = surround();
+    const { known } = createSurroundings();
     const calls = createAttemptOwners({
         homeId: "home-1",
         homeVersion: 1,
@@ -460,11 +462,11 @@
     const clock = createFakeClock();
     const ledger = createLedger();
     const table = createAttempts(clock, ledger);
-    const worker = ownedWorker();
+    const worker = createOwnedWorker();
     ledger.addWorker("w1", "r1", capacity);
     ledger.setOpen("w1", true);
     ledger.reserve("w1", "a1", capacity);
-    table.track(worker, { ...parts, size: capacity }, "home-1", "running");
+    table.track(worker, { ...attemptSpec, size: capacity }, "home-1", "running");
     const makeRoom = createRoomMaker({
         clock,
         meter,
@@ -477,7 +479,7 @@
         stop: () => {},
     });
     const urgent = {
-        ...parts,
+        ...attemptSpec,
         attemptId: "a2",
         taskId: "barrier-plan/0",
         priority: 9,
@@ -492,6 +494,7 @@
 
 const nodeSettings = (): string => `leases of ${defaultNodeSettings.leaseMs} ms`;
 
+/** The examples by module name; each returns a line that the feature compares. */
 export const ownershipExamples = {
     homeRecovery,
     attemptOwners,
--- a/features/steps/examples/utilities.ts
+++ b/features/steps/examples/utilities.ts
@@ -1,4 +1,4 @@
-/** Examples of the small helpers. */
+/** Runnable examples of the utility modules. */
 
 import { createFakeClock } from "@puffinarch/stand-ins";
 import {
@@ -61,4 +61,5 @@
 const system = (): string =>
     createSeededRandom(7).next() === createSeededRandom(7).next() ? "the same for the same seed" : "different";
 
+/** The examples by module name; each returns a line that the feature compares. */
 export const utilityExamples = { errors, check: checkExample, resources, rendezvous, ring, time, system };
