--- a/features/badInput.feature
+++ b/features/badInput.feature
@@ -1,4 +1,4 @@
-Feature: Bad input gets a clear typed error and leaves nothing half done
+Feature: Invalid input is refused with an error that names the field, and has no effect
 
     Scenario Outline: Settings with <case>
         When a daemon is given settings with <case>
@@ -18,7 +18,7 @@
             | a grace below the validity    | 5    | timings.deathGraceMs               | more than startValidityMs  |
             | text that is not YAML         | 1    | file                               | well-formed YAML           |
 
-    Scenario Outline: A call with <case>
+    Scenario Outline: A job submitted with <case>
         Given a cell
         When a job is submitted with <case>
         Then the last answer is "invalid"
@@ -38,10 +38,10 @@
             | a payload of 20000 bytes  | payload             |
             | an unknown field          | colour              |
 
-    Scenario Outline: The tool with <args>
-        When the tool runs "<args>" without a daemon
+    Scenario Outline: The CLI with <args>
+        When the CLI runs "<args>" without a daemon
         Then its exit code is 2
-        And it writes "<text>"
+        And its output contains "<text>"
 
         Examples:
             | args                                                                            | text                            |
--- a/features/daemon.feature
+++ b/features/daemon.feature
@@ -1,9 +1,9 @@
-Feature: The daemon's network side
+Feature: The daemon's HTTP interface and the CLI
 
     Background:
         Given a daemon with 2 upstreams over HTTP
 
-    Scenario Outline: The schema answers JSON at <path>
+    Scenario Outline: The API answers JSON requests at <path>
         When JSON "<body>" is posted to "<path>"
         Then the status is <status>
         And the answer has "<field>"
@@ -20,10 +20,10 @@
             | /puffinarch.v1.JobService/GetJob                     | {'jobId':'missing'} | 404    | details.0.debug.kind        |
             | /puffinarch.v1.JobService/SubmitJob                  | {}                  | 400    | details.0.debug.violations  |
 
-    Scenario Outline: The tool runs "<command>"
-        When the tool runs "<command>"
+    Scenario Outline: The CLI runs "<command>"
+        When the CLI runs "<command>"
         Then its exit code is <code>
-        And it writes "<text>"
+        And its output contains "<text>"
 
         Examples:
             | command                                                                 | code | text                  |
@@ -46,20 +46,20 @@
             | log-level debug                                                         | 0    | and is debug          |
             | job list --endpoint http://127.0.0.1:1                                  | 0    | JOB                   |
 
-    Scenario: A job goes from the tool to its result
-        When the tool runs "job submit j1 --class batch --team rigging --cpu-millis 100"
-        And the tool runs "job watch j1"
-        Then it writes "1 completed"
-        When the tool runs "job result j1/0"
-        Then it writes "j1/0 done"
-        When the tool runs "explain j1/0"
-        Then it writes "among workers with room"
+    Scenario: A job is submitted, watched and explained through the CLI
+        When the CLI runs "job submit j1 --class batch --team rigging --cpu-millis 100"
+        And the CLI runs "job watch j1"
+        Then its output contains "1 completed"
+        When the CLI runs "job result j1/0"
+        Then its output contains "j1/0 done"
+        When the CLI runs "explain j1/0"
+        Then its output contains "among workers with room"
 
     Scenario: Health, readiness and metrics
         Then "/healthz" answers 200
         And "/readyz" answers 200
         And "/metrics" answers 200 with "puffinarch_table_reads_total"
 
-    Scenario: Each decision has a log line
+    Scenario: Each decision is logged
         When an idempotent request "r1" is sent
-        Then the log has a decision on "r1" with who, what, chosen, why, how long and the alternatives' number
+        Then the log has a decision on "r1" with its requester, kind, choice, reason, duration and number of alternatives
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -1,13 +1,13 @@
-Feature: What fails, and what callers see
+Feature: Failures and the results that callers get
 
     Scenario Outline: <fault> while tasks <phase>
         Given a cell
         And a batch job, an at-most-once job, a service and a gang that <phase>
         When <fault>
         And 8000 ms pass in the cell
-        And everything is healed
-        Then every task is answered within 60000 ms
-        And the stand-ins saw no promise broken
+        And every fault is cleared
+        Then every task is final within 60000 ms
+        And no execution guarantee was violated
         And the tasks of re-runnable jobs are all "completed"
 
         Examples:
@@ -45,17 +45,17 @@
             | end            | the platform is out and the home daemon is killed           |
             | run            | the home daemon is killed twice                             |
 
-    Scenario: A submission during an outage is not accepted, and a resend afterwards is
+    Scenario: A job is refused during an outage and accepted when it is submitted again afterwards
         Given a cell
         And the platform is out
         When a job "j1" of the class "batch" with 4 tasks of 500 ms is submitted
         Then the last answer is "notAccepted"
-        When everything is healed
+        When every fault is cleared
         And a job "j1" of the class "batch" with 4 tasks of 500 ms is submitted
         Then the job "j1" ends within 10000 ms
         And the workers ran 4 attempts
 
-    Scenario: An at-most-once task on a lost worker may have run, and is not run again
+    Scenario: At-most-once tasks on lost workers are reported as mayHaveRun and not run again
         Given a cell
         When an at-most-once job "j1" with 4 tasks of 60000 ms is submitted
         And 1000 ms pass in the cell
--- a/features/faults.feature
+++ b/features/faults.feature
@@ -1,15 +1,15 @@
-Feature: Faults at each step, alone, twice and in pairs
+Feature: Faults in each phase of a job: single, repeated and in pairs
 
-    # The last column is what the caller of an at-most-once job may be told; the callers of re-runnable jobs are always
-    # told that they completed.
+    # The column "once" lists the final states that tasks of the at-most-once job may have. Tasks of re-runnable jobs must
+    # always complete.
     Scenario Outline: <fault> while tasks <phase>
         Given a cell
         And a batch job, an at-most-once job, a service and a gang that <phase>
         When <fault>
         And 14000 ms pass in the cell
-        And everything is healed
-        Then every task is answered within 90000 ms
-        And the stand-ins saw no promise broken
+        And every fault is cleared
+        Then every task is final within 90000 ms
+        And no execution guarantee was violated
         And the tasks of re-runnable jobs are all "completed"
         And the tasks of the at-most-once job are "<once>"
 
--- a/features/journal.feature
+++ b/features/journal.feature
@@ -33,7 +33,7 @@
             | loseReply | durable     | 1     |
             | late      | durable     | 1     |
 
-    Scenario: A claimed row is taken, and the rest of the batch goes on
+    Scenario: A claim of a row that already exists fails alone, and the rest of its batch is written
         Given a journal
         And the row "job/j1" is taken
         When a record is appended that claims the row "job/j1"
@@ -42,22 +42,22 @@
         Then the append is "alreadyExists"
         And the other append is "durable"
 
-    Scenario: A holder that was replaced writes nothing
+    Scenario: A home that lost its ownership writes nothing
         Given a journal
         And the ownership row has changed
         When a record is appended
         And 1000 ms pass
         Then the append is "unavailable"
         And the journal holds the record 0 times
-        And the holder is told that it was replaced
+        And the journal reports that it lost ownership
 
-    Scenario: Many appends share a transaction
+    Scenario: Concurrent appends are written in few transactions
         Given a journal
         When 1000 records are appended at once
         And 1000 ms pass
         Then all of them are durable in at most 5 writes
 
-    Scenario: Appends keep to the rate of batches
+    Scenario: Appends stay within the configured rate of batches
         Given a journal of 10 batches a second
         When a record is appended every 5 ms for 4000 ms
         And 2000 ms pass
--- a/features/ledger.feature
+++ b/features/ledger.feature
@@ -1,12 +1,12 @@
 Feature: The ledger of worker capacity
 
-    Scenario: No interleaving of place, finish, cancel and takeover exceeds a worker
+    Scenario: No interleaving of place, finish, cancel and takeover exceeds a worker's capacity
         When 500 random interleavings run against a ledger and a model
-        Then the ledger never holds more than a worker has
+        Then the ledger never reserves more than a worker's capacity
         And the ledger and the model always agree
 
     Scenario Outline: The policy "<placement>" chooses "<worker>" for 2000 cpuMillis
-        Given open workers with this room
+        Given open workers with this capacity
             | worker | cpuMillis | memoryMib |
             | a      | 1000      | 9000      |
             | b      | 2000      | 4000      |
@@ -22,7 +22,7 @@
             | gang      | b      |
 
     Scenario: A closed worker is never chosen
-        Given open workers with this room
+        Given open workers with this capacity
             | worker | cpuMillis | memoryMib |
             | a      | 4000      | 4000      |
         When the worker "a" is closed
--- a/features/log.feature
+++ b/features/log.feature
@@ -1,10 +1,10 @@
-Feature: The log never holds the daemon up
+Feature: Logging never blocks the process
 
-    Scenario: A process whose standard output nobody reads goes on
+    Scenario: A process whose standard output is not read does not block, and counts the dropped lines
         Given a process that logs 100000 lines to a standard output that nobody reads
-        Then it goes on to its end
-        And its output, read then, tells how many lines were left out
+        Then it logs all lines without blocking
+        And its output, when read afterwards, reports how many lines were dropped
 
-    Scenario: A process whose standard output is read loses no line
+    Scenario: A process whose standard output is read drops no line
         Given a process that logs 20000 lines to a standard output that is read
-        Then all 20000 lines came, in order
+        Then all 20000 lines are read in order
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,4 +1,4 @@
-Feature: The platform's ports
+Feature: The platform's table, objects and list of VMs
 
     Scenario Outline: A transaction through the <adapter> adapter under the fault "<fault>"
         Given a platform behind the "<adapter>" adapter
@@ -19,7 +19,7 @@
             | http    | loseReply | unknown   | present |
             | http    | hang      | unknown   | absent  |
 
-    Scenario Outline: Conditions through the <adapter> adapter
+    Scenario Outline: Conditional writes through the <adapter> adapter
         Given a platform behind the "<adapter>" adapter
         When a row "k" is put on condition that it is absent
         And a row "k" is put on condition that it is absent
@@ -46,14 +46,14 @@
             | direct  |
             | http    |
 
-    Scenario: The platform enforces its limits
+    Scenario: The platform enforces its limits on writes and reads
         Given a platform that allows 3 writes and 5 reads a second
         When 5 rows are written at once
         Then 3 writes are committed and 2 are refused
         When 8 rows are read at once
         Then 5 reads are answered and 3 are unavailable
 
-    Scenario: The list of VMs lags, and its generations grow
+    Scenario: The list of VMs shows changes after a delay
         Given a platform behind the "direct" adapter
         When the VM "vm-1" is added
         Then the list does not show "vm-1" yet
--- a/features/steps/cellPart.ts
+++ b/features/steps/cellPart.ts
@@ -1,4 +1,4 @@
-/** The cell of a scenario and how steps call its nodes while the fake clock moves. */
+/** The simulated cell of a scenario, and helpers that call its nodes while the fake clock advances. */
 
 import {
     type Cell,
@@ -12,22 +12,29 @@
 import { type Configuration, isFinal, type Job, type JobSpec, type Task } from "puffinarch";
 import { type Ending, endingOf, partOf, type ScenarioWorld } from "./support.js";
 
-/** What a scenario knows of its cell. */
+/** State of a scenario that uses a cell. */
 export interface CellPart {
     readonly cell: Cell;
-    readonly onceOnly: Set<string>;
-    readonly reRunnable: Set<string>;
+    /** Accepted jobs whose tasks run at most once. */
+    readonly atMostOnceJobIds: Set<string>;
+    /** Accepted jobs whose tasks may run again after a failure. */
+    readonly rerunnableJobIds: Set<string>;
+    /** All accepted jobs. */
     readonly jobIds: Set<string>;
-    last: Ending<Job> | undefined;
-    answers: readonly Ending<Job>[];
+    /** Result of the last call that submitted or cancelled a job. */
+    lastJobCall: Ending<Job> | undefined;
+    /** Results of submitting the same job again, one for each daemon. */
+    resubmissions: readonly Ending<Job>[];
+    /** Results of configuration changes. */
     changes: readonly Ending<Configuration>[];
-    openChange: Promise<Ending<Configuration>> | undefined;
+    /** A configuration change that may still be in flight. */
+    pendingChange: Promise<Ending<Configuration>> | undefined;
 }
 
 const partName = "cell";
 
 /**
- * Starts the scenario's cell.
+ * Starts a cell for the scenario, with the default options except for those in `changed`.
  *
  * @example
  * await startCell(world, { seed: 7 });
@@ -36,56 +43,64 @@
     const cell = createCell({ ...defaultCellOptions, ...changed });
     partOf<CellPart>(world, partName, () => ({
         cell,
-        onceOnly: new Set(),
-        reRunnable: new Set(),
+        atMostOnceJobIds: new Set(),
+        rerunnableJobIds: new Set(),
         jobIds: new Set(),
-        last: undefined,
-        answers: [],
+        lastJobCall: undefined,
+        resubmissions: [],
         changes: [],
-        openChange: undefined,
+        pendingChange: undefined,
     }));
     await cell.start();
 };
 
 /**
- * Gives the scenario's cell.
+ * Returns the state of the scenario's cell; fails if no cell was started.
  *
  * @example
  * const { cell } = cellPart(world);
  */
 export const cellPart = (world: ScenarioWorld): CellPart =>
-    partOf<CellPart>(world, partName, () => assert.fail("there is no cell"));
+    partOf<CellPart>(world, partName, () => assert.fail("the scenario started no cell"));
 
 /**
- * Gives a daemon that answers, the first one by default.
+ * Returns the first daemon that is running and ready; fails if there is none.
  *
  * @example
- * const daemon = answering(cell);
+ * const daemon = readyDaemon(cell);
  */
-export const answering = (cell: Cell): CellDaemon => findAnswering(cell) ?? assert.fail("no daemon answers");
+export const readyDaemon = (cell: Cell): CellDaemon => findReadyDaemon(cell) ?? assert.fail("no daemon is ready");
 
-const findAnswering = (cell: Cell): CellDaemon | undefined =>
+const findReadyDaemon = (cell: Cell): CellDaemon | undefined =>
     cell.daemons().find(each => !each.gate.dead() && !each.gate.paused() && each.node.ready());
 
 const callLimitMs = 10_000;
 
 /**
- * Calls a node while the clock moves, and waits for the ending.
+ * Advances the cell's clock until a call settles, and returns its result or failure; fails after 10 s of fake time.
  *
  * @example
- * const ending = await during(cell, daemon.node.jobs.get("j1"));
+ * const ending = await awaitWithClock(cell, daemon.node.jobs.get("j1"));
  */
-export const during = async <T>(cell: Cell, call: Promise<T>): Promise<Ending<T>> => {
-    const boxed: { ending: Ending<T> | undefined; } = { ending: undefined };
+export const awaitWithClock = async <T>(cell: Cell, call: Promise<T>): Promise<Ending<T>> => {
+    const result: { ending: Ending<T> | undefined; } = { ending: undefined };
     void endingOf(call).then(ending => {
-        boxed.ending = ending;
+        result.ending = ending;
     });
-    await cell.until("a call ends", callLimitMs, () => boxed.ending !== undefined);
-    return boxed.ending ?? assert.fail("the call has no ending");
+    await cell.until("the call settles", callLimitMs, () => result.ending !== undefined);
+    return result.ending ?? assert.fail("the call did not settle");
 };
 
-/** A job of small tasks. */
-export const specOf = (jobId: string, changed: Partial<JobSpec> & { readonly script?: object; } = {}): JobSpec => {
+/**
+ * Creates the specification of a batch job with four small tasks of 500 ms; `changed` replaces fields of it.
+ *
+ * @example
+ * createJobSpec("j1", { tasks: 1, script: { runMs: 10 } });
+ */
+export const createJobSpec = (
+    jobId: string,
+    changed: Partial<JobSpec> & { readonly script?: object; } = {},
+): JobSpec => {
     const { script, ...spec } = changed;
     return {
         jobId,
@@ -100,38 +115,40 @@
 };
 
 /**
- * Submits a job through a daemon and notes what was accepted.
+ * Submits a job through a daemon, and records its id in the scenario's state if it was accepted.
  *
  * @example
- * await submit(world, daemon, specOf("j1"));
+ * await submit(world, daemon, createJobSpec("j1"));
  */
 export const submit = async (world: ScenarioWorld, daemon: CellDaemon, spec: JobSpec): Promise<void> => {
     const state = cellPart(world);
-    state.last = await during(state.cell, daemon.node.jobs.submit(spec));
-    if (state.last.value !== undefined) {
+    state.lastJobCall = await awaitWithClock(state.cell, daemon.node.jobs.submit(spec));
+    if (state.lastJobCall.value !== undefined) {
         state.jobIds.add(spec.jobId);
-        (spec.atMostOnce ? state.onceOnly : state.reRunnable).add(spec.jobId);
+        (spec.atMostOnce ? state.atMostOnceJobIds : state.rerunnableJobIds).add(spec.jobId);
     }
 };
 
 /**
- * Reads the tasks of a job through any daemon that answers; empty while nobody can tell.
+ * Reads the tasks of a job through a ready daemon; empty if no daemon is ready or the call fails.
  *
  * @example
  * const tasks = await tasksOf(cell, "j1");
  */
 export const tasksOf = async (cell: Cell, jobId: string): Promise<readonly Task[]> => {
-    const daemon = findAnswering(cell);
-    return daemon === undefined ? [] : (await during(cell, daemon.node.jobs.tasks(jobId, -1, 10_000))).value ?? [];
+    const daemon = findReadyDaemon(cell);
+    return daemon === undefined
+        ? []
+        : (await awaitWithClock(cell, daemon.node.jobs.tasks(jobId, -1, 10_000))).value ?? [];
 };
 
 /**
- * Waits until every task of a job is final.
+ * Advances the clock until every task of a job is final; fails after `limitMs` of fake time.
  *
  * @example
- * await untilEnded(cell, "j1", 10_000);
+ * await waitUntilFinal(cell, "j1", 10_000);
  */
-export const untilEnded = async (cell: Cell, jobId: string, limitMs: number): Promise<void> => {
+export const waitUntilFinal = async (cell: Cell, jobId: string, limitMs: number): Promise<void> => {
     const giveUpAtMs = cell.clock.monotonicMs() + limitMs;
     let states = "";
     while (cell.clock.monotonicMs() < giveUpAtMs) {
@@ -142,17 +159,18 @@
         }
         await cell.advance(100);
     }
-    assert.fail(`job ${jobId} did not end within ${limitMs} ms; its tasks are ${states}`);
+    assert.fail(`job ${jobId} has tasks that are not final after ${limitMs} ms: ${states}`);
 };
 
 /**
- * Checks the promises against the workers' evidence.
+ * Checks the workers' records: no task ran twice at the same time, no at-most-once task started twice, and no worker was
+ * overcommitted.
  *
  * @example
- * assertPromises(world);
+ * assertExecutionGuarantees(world);
  */
-export const assertPromises = (world: ScenarioWorld): void => {
-    const { cell, onceOnly } = cellPart(world);
-    assert.deepEqual(tasksRunTwice(cell.executions(), onceOnly), []);
+export const assertExecutionGuarantees = (world: ScenarioWorld): void => {
+    const { cell, atMostOnceJobIds } = cellPart(world);
+    assert.deepEqual(tasksRunTwice(cell.executions(), atMostOnceJobIds), []);
     assert.equal(cell.overcommits(), 0);
 };
--- a/features/steps/daemonSteps.ts
+++ b/features/steps/daemonSteps.ts
@@ -18,9 +18,11 @@
 import { Agent, request } from "undici";
 import { partOf, type ScenarioWorld } from "./support.js";
 
-interface Answered {
+interface ServiceResponse {
     readonly requestId: string;
-    readonly said: string;
+    /** The outcome in the header `x-puffinarch-answer`. */
+    readonly outcome: string;
+    /** The request id that the upstream wrote into the body. */
     readonly bodyId: string | undefined;
 }
 
@@ -30,18 +32,21 @@
     readonly daemon: Daemon;
     readonly lines: string[];
     readonly agent: Agent;
-    answers: Answered[];
+    /** Responses to the requests that were sent to the service. */
+    answers: ServiceResponse[];
+    /** Status and body of the last JSON call. */
     status: number;
     body: unknown;
+    /** Exit code and output of the last run of the CLI. */
     exitCode: number;
-    written: string;
+    output: string;
     stopping: Promise<void> | undefined;
 }
 
 const clock = createSystemClock();
 const dataCentre = "leon-feria";
 const capacity = { cpuMillis: 4_000, memoryMib: 4_096, accelerators: 0 };
-const quick = {
+const shortTimings = {
     statusIntervalMs: 20,
     refreshIntervalMs: 20,
     gossipIntervalMs: 20,
@@ -55,24 +60,24 @@
 const maxWaits = 4_000;
 
 const part = (world: ScenarioWorld): DaemonPart =>
-    partOf<DaemonPart>(world, "daemon", () => assert.fail("there is no daemon"));
+    partOf<DaemonPart>(world, "daemon", () => assert.fail("the scenario started no daemon"));
 
 /**
- * Gives the address of the scenario's daemon.
+ * Returns the base URL of the scenario's daemon.
  *
  * @example
  * const address = daemonAddress(world);
  */
 export const daemonAddress = (world: ScenarioWorld): string => part(world).daemon.address;
 
-const waitUntil = async (what: string, holds: () => boolean): Promise<void> => {
+const waitUntil = async (description: string, condition: () => boolean): Promise<void> => {
     for (let left = maxWaits; left > 0; left -= 1) {
-        if (holds()) {
+        if (condition()) {
             return;
         }
         await sleep(clock, waitStepMs);
     }
-    assert.fail(`${what} did not come`);
+    assert.fail(`timed out waiting for ${description}`);
 };
 
 const upstreamVm = (upstream: UpstreamStandIn, { address }: Served): Vm => ({
@@ -115,7 +120,7 @@
         dataCentre,
         listen: { host: "127.0.0.1", port: 0 },
         platformAddress: served.address,
-        timings: quick,
+        timings: shortTimings,
     };
     const log = createLog({ clock, level: "info", vmId: "entry-1", write: line => lines.push(line) });
     const daemon = await startDaemon({ settings, clock, random: createSystemRandom(), log });
@@ -131,12 +136,15 @@
         status: 0,
         body: undefined,
         exitCode: -1,
-        written: "",
+        output: "",
         stopping: undefined,
     }));
     await daemon.started;
-    await waitUntil("the upstreams' slots", () => (daemon.node.slots.free()["mesa-comun"] ?? 0) === 8 * count);
-    await waitUntil("the worker", () => lines.some(line => line.includes('"to":"live"') && line.includes('"w1"')));
+    await waitUntil("the slots of all upstreams", () => (daemon.node.slots.free()["mesa-comun"] ?? 0) === 8 * count);
+    await waitUntil(
+        "the worker to become live",
+        () => lines.some(line => line.includes('"to":"live"') && line.includes('"w1"')),
+    );
 });
 
 const send = async (
@@ -144,7 +152,7 @@
     requestId: string,
     idempotent: boolean,
     workMs: number,
-): Promise<Answered> => {
+): Promise<ServiceResponse> => {
     const { daemon, agent } = part(world);
     const answer = await request(`${daemon.address}/services/mesa-comun/plan-check`, {
         method: "POST",
@@ -158,7 +166,7 @@
         body: JSON.stringify({ workMs, answerBytes: 10 }),
     });
     const body = await answer.body.json() as { readonly requestId?: string; };
-    return { requestId, said: String(answer.headers["x-puffinarch-answer"]), bodyId: body.requestId };
+    return { requestId, outcome: String(answer.headers["x-puffinarch-answer"]), bodyId: body.requestId };
 };
 
 When("{int} requests are sent at once, each with its own id", async function(this: ScenarioWorld, count: number) {
@@ -166,14 +174,14 @@
     part(this).answers = await Promise.all(sent);
 });
 
-Then("every answer carries its own id and says {string}", function(this: ScenarioWorld, said: string) {
+Then("every answer has the id of its request and the outcome {string}", function(this: ScenarioWorld, outcome: string) {
     for (const answer of part(this).answers) {
         assert.equal(answer.bodyId, answer.requestId);
-        assert.equal(answer.said, said);
+        assert.equal(answer.outcome, outcome);
     }
 });
 
-Then("the upstreams counted no violation", function(this: ScenarioWorld) {
+Then("the upstreams counted no slot or connection violation", function(this: ScenarioWorld) {
     for (const upstream of part(this).upstreams) {
         const { slotViolations, connectionViolations } = upstream.evidence();
         assert.equal(slotViolations + connectionViolations, 0);
@@ -189,11 +197,11 @@
 );
 
 Then("the answers are {string} and {string}", function(this: ScenarioWorld, first: string, second: string) {
-    assert.deepEqual(part(this).answers.map(answer => answer.said), [first, second]);
+    assert.deepEqual(part(this).answers.map(answer => answer.outcome), [first, second]);
 });
 
-Then("the answer is {string}", function(this: ScenarioWorld, said: string) {
-    assert.equal(part(this).answers.at(-1)?.said, said);
+Then("the answer is {string}", function(this: ScenarioWorld, outcome: string) {
+    assert.equal(part(this).answers.at(-1)?.outcome, outcome);
 });
 
 Then("{string} ran {int} times", function(this: ScenarioWorld, requestId: string, times: number) {
@@ -203,7 +211,7 @@
     assert.equal(runs.length, times);
 });
 
-Given("the platform refuses everything", function(this: ScenarioWorld) {
+Given("the platform refuses every table call", function(this: ScenarioWorld) {
     const { faults } = part(this).platform;
     faults.set("table", [{ target: "table", kind: "refuse", probability: 1 }]);
     this.closers.push(async () => faults.set("table", []));
@@ -212,13 +220,13 @@
 Given("every upstream is leaving", async function(this: ScenarioWorld) {
     const { upstreams, daemon } = part(this);
     upstreams.forEach(upstream => upstream.leave());
-    await waitUntil("the leaving of the upstreams", () => !daemon.node.slots.serves("mesa-comun"));
+    await waitUntil("the daemon to stop using the upstreams", () => !daemon.node.slots.serves("mesa-comun"));
 });
 
 Given("the upstreams are replaced", async function(this: ScenarioWorld) {
     const { platform, upstreams, daemon } = part(this);
     upstreams.push(await addUpstream(this, platform, "u-new"));
-    await waitUntil("the new upstream", () => (daemon.node.slots.free()["mesa-comun"] ?? 0) > 0);
+    await waitUntil("slots of the new upstream", () => (daemon.node.slots.free()["mesa-comun"] ?? 0) > 0);
 });
 
 When(
@@ -227,7 +235,7 @@
         const state = part(this);
         const sent = Array.from({ length: count }, (_none, index) => send(this, `r${index}`, true, workMs));
         await waitUntil(
-            "the requests in flight",
+            "all requests to be in flight",
             () => state.upstreams.reduce((sum, each) => sum + each.status().slotsInUse, 0) === count,
         );
         state.stopping = state.daemon.stop();
@@ -236,9 +244,9 @@
     },
 );
 
-Then("every one of them says {string}", function(this: ScenarioWorld, said: string) {
+Then("every answer has the outcome {string}", function(this: ScenarioWorld, outcome: string) {
     for (const answer of part(this).answers) {
-        assert.equal(answer.said, said);
+        assert.equal(answer.outcome, outcome);
     }
 });
 
@@ -271,32 +279,37 @@
     assert.notEqual(value, undefined, JSON.stringify(part(this).body));
 });
 
-const runTool = async (args: string, endpoint: string | undefined): Promise<{ exitCode: number; written: string; }> => {
-    let written = "";
+const runCommandLine = async (
+    args: string,
+    endpoint: string | undefined,
+): Promise<{ exitCode: number; output: string; }> => {
+    let output = "";
     const write = (text: string): void => {
-        written += text;
+        output += text;
     };
-    const last = endpoint === undefined ? [] : ["--endpoint", endpoint];
-    const exitCode = await runCli([...args.split(" "), ...last], { write, writeError: write }, { USER: "tester" });
-    return { exitCode, written };
+    const endpointArgs = endpoint === undefined ? [] : ["--endpoint", endpoint];
+    const exitCode = await runCli([...args.split(" "), ...endpointArgs], { write, writeError: write }, {
+        USER: "tester",
+    });
+    return { exitCode, output };
 };
 
-When("the tool runs {string}", async function(this: ScenarioWorld, args: string) {
+When("the CLI runs {string}", async function(this: ScenarioWorld, args: string) {
     const state = part(this);
-    Object.assign(state, await runTool(args, state.daemon.address));
+    Object.assign(state, await runCommandLine(args, state.daemon.address));
 });
 
-When("the tool runs {string} without a daemon", async function(this: ScenarioWorld, args: string) {
-    const result = await runTool(args, undefined);
+When("the CLI runs {string} without a daemon", async function(this: ScenarioWorld, args: string) {
+    const result = await runCommandLine(args, undefined);
     partOf(this, "daemon", () => result);
 });
 
 Then("its exit code is {int}", function(this: ScenarioWorld, code: number) {
-    assert.equal(part(this).exitCode, code, part(this).written);
+    assert.equal(part(this).exitCode, code, part(this).output);
 });
 
-Then("it writes {string}", function(this: ScenarioWorld, text: string) {
-    assert.ok(part(this).written.includes(text), part(this).written);
+Then("its output contains {string}", function(this: ScenarioWorld, text: string) {
+    assert.ok(part(this).output.includes(text), part(this).output);
 });
 
 Then("{string} answers {int}", async function(this: ScenarioWorld, path: string, status: number) {
@@ -315,7 +328,7 @@
 );
 
 Then(
-    "the log has a decision on {string} with who, what, chosen, why, how long and the alternatives' number",
+    "the log has a decision on {string} with its requester, kind, choice, reason, duration and number of alternatives",
     function(this: ScenarioWorld, subject: string) {
         const decisions = part(this).lines.map(line => JSON.parse(line) as Record<string, unknown>);
         const found = decisions.find(each => each["event"] === "decision" && each["subject"] === subject);
--- a/features/steps/jobSteps.ts
+++ b/features/steps/jobSteps.ts
@@ -2,15 +2,15 @@
 import assert from "node:assert/strict";
 import { initialDocument, type JobSpec, type TaskState } from "puffinarch";
 import {
-    answering,
-    assertPromises,
+    assertExecutionGuarantees,
+    awaitWithClock,
     cellPart,
-    during,
-    specOf,
+    createJobSpec,
+    readyDaemon,
     startCell,
     submit,
     tasksOf,
-    untilEnded,
+    waitUntilFinal,
 } from "./cellPart.js";
 import type { ScenarioWorld } from "./support.js";
 
@@ -25,7 +25,11 @@
 When(
     "a job {string} of the class {string} with {int} tasks of {int} ms is submitted",
     function(this: ScenarioWorld, jobId: string, workloadClass: string, tasks: number, runMs: number) {
-        return submit(this, answering(cellPart(this).cell), specOf(jobId, { workloadClass, tasks, script: { runMs } }));
+        return submit(
+            this,
+            readyDaemon(cellPart(this).cell),
+            createJobSpec(jobId, { workloadClass, tasks, script: { runMs } }),
+        );
     },
 );
 
@@ -34,8 +38,8 @@
     function(this: ScenarioWorld, jobId: string, tasks: number, runMs: number) {
         return submit(
             this,
-            answering(cellPart(this).cell),
-            specOf(jobId, { tasks, atMostOnce: true, script: { runMs } }),
+            readyDaemon(cellPart(this).cell),
+            createJobSpec(jobId, { tasks, atMostOnce: true, script: { runMs } }),
         );
     },
 );
@@ -45,8 +49,8 @@
     function(this: ScenarioWorld, jobId: string, workloadClass: string, tasks: number) {
         return submit(
             this,
-            answering(cellPart(this).cell),
-            specOf(jobId, { workloadClass, tasks, script: { runMs: 10, fails: true } }),
+            readyDaemon(cellPart(this).cell),
+            createJobSpec(jobId, { workloadClass, tasks, script: { runMs: 10, fails: true } }),
         );
     },
 );
@@ -56,29 +60,29 @@
     function(this: ScenarioWorld, jobId: string, workloadClass: string, tasks: number, resultBytes: number) {
         return submit(
             this,
-            answering(cellPart(this).cell),
-            specOf(jobId, { workloadClass, tasks, script: { runMs: 10, resultBytes } }),
+            readyDaemon(cellPart(this).cell),
+            createJobSpec(jobId, { workloadClass, tasks, script: { runMs: 10, resultBytes } }),
         );
     },
 );
 
 When("the same job is submitted through every daemon", async function(this: ScenarioWorld) {
     const state = cellPart(this);
-    const spec = state.last?.value?.spec ?? assert.fail("no job was accepted");
+    const spec = state.lastJobCall?.value?.spec ?? assert.fail("no job was accepted");
     const answers = [];
     for (const daemon of state.cell.daemons()) {
-        answers.push(await during(state.cell, daemon.node.jobs.submit(spec)));
+        answers.push(await awaitWithClock(state.cell, daemon.node.jobs.submit(spec)));
     }
-    state.answers = answers;
+    state.resubmissions = answers;
 });
 
-Then("every answer names the same home", function(this: ScenarioWorld) {
-    const { answers, last } = cellPart(this);
-    assert.deepEqual(new Set(answers.map(answer => answer.value?.homeId)), new Set([last?.value?.homeId]));
+Then("every answer has the same home", function(this: ScenarioWorld) {
+    const { resubmissions, lastJobCall } = cellPart(this);
+    assert.deepEqual(new Set(resubmissions.map(answer => answer.value?.homeId)), new Set([lastJobCall?.value?.homeId]));
 });
 
-/** Inputs by the words of the features; some have fields that no typed caller could send. */
-const inputs: Readonly<Record<string, object>> = {
+/** Fields of specifications that are refused, by their names in the features; some do not fit the type `JobSpec`. */
+const rejectedSpecs: Readonly<Record<string, object>> = {
     "5000 cpuMillis a task": { taskSize: { cpuMillis: 5_000, memoryMib: 1, accelerators: 0 } },
     "9000 memoryMib a task": { taskSize: { cpuMillis: 1, memoryMib: 9_000, accelerators: 0 } },
     "2 accelerators a task": { taskSize: { cpuMillis: 1, memoryMib: 1, accelerators: 2 } },
@@ -96,16 +100,16 @@
 };
 
 When(/^a job is submitted with (.+)$/, function(this: ScenarioWorld, name: string) {
-    const changed = inputs[name] ?? assert.fail(`no input is named ${name}`);
-    return submit(this, answering(cellPart(this).cell), { ...specOf("j1"), ...changed } as JobSpec);
+    const changed = rejectedSpecs[name] ?? assert.fail(`unknown specification "${name}"`);
+    return submit(this, readyDaemon(cellPart(this).cell), { ...createJobSpec("j1"), ...changed } as JobSpec);
 });
 
 Then("the last answer is {string}", function(this: ScenarioWorld, kind: string) {
-    assert.equal(cellPart(this).last?.failure?.kind ?? "accepted", kind);
+    assert.equal(cellPart(this).lastJobCall?.failure?.kind ?? "accepted", kind);
 });
 
 Then("the last answer names the field {string}", function(this: ScenarioWorld, field: string) {
-    const violations = cellPart(this).last?.failure?.violations ?? [];
+    const violations = cellPart(this).lastJobCall?.failure?.violations ?? [];
     assert.ok(
         violations.some(violation => violation.field === field && violation.allowed !== ""),
         JSON.stringify(violations),
@@ -120,12 +124,12 @@
 
 When("the job {string} is cancelled", async function(this: ScenarioWorld, jobId: string) {
     const state = cellPart(this);
-    state.last = await during(state.cell, answering(state.cell).node.jobs.cancel(jobId));
-    assert.equal(state.last.failure, undefined);
+    state.lastJobCall = await awaitWithClock(state.cell, readyDaemon(state.cell).node.jobs.cancel(jobId));
+    assert.equal(state.lastJobCall.failure, undefined);
 });
 
 Then("the job {string} ends within {int} ms", function(this: ScenarioWorld, jobId: string, limitMs: number) {
-    return untilEnded(cellPart(this).cell, jobId, limitMs);
+    return waitUntilFinal(cellPart(this).cell, jobId, limitMs);
 });
 
 Then(
@@ -150,7 +154,7 @@
     "the result of {string} has at least {int} bytes",
     async function(this: ScenarioWorld, taskId: string, bytes: number) {
         const { cell } = cellPart(this);
-        const ending = await during(cell, answering(cell).node.jobs.task(taskId));
+        const ending = await awaitWithClock(cell, readyDaemon(cell).node.jobs.task(taskId));
         assert.ok((ending.value?.result?.length ?? 0) >= bytes);
     },
 );
@@ -164,12 +168,12 @@
     assert.ok(length <= most, `${length} attempts`);
 });
 
-Then("the workers have nothing left to run", function(this: ScenarioWorld) {
+Then("no task is still running on a worker", function(this: ScenarioWorld) {
     assert.ok(cellPart(this).cell.executions().every(execution => execution.endedAtMs !== undefined));
 });
 
-/** The most of a job's tasks that ran at one moment. */
-const mostAtOnce = (world: ScenarioWorld, jobId: string): number => {
+/** Returns the largest number of a job's tasks that ran at the same time. */
+const peakConcurrency = (world: ScenarioWorld, jobId: string): number => {
     const runs = cellPart(world).cell.executions().filter(each => each.taskId.startsWith(`${jobId}/`));
     const runningAt = (atMs: number): number =>
         runs.filter(run => run.startedAtMs <= atMs && (run.endedAtMs ?? Infinity) > atMs).length;
@@ -178,31 +182,31 @@
 
 Then("the tasks of {string} ran at the same time", function(this: ScenarioWorld, jobId: string) {
     const runs = cellPart(this).cell.executions().filter(each => each.taskId.startsWith(`${jobId}/`));
-    assert.equal(mostAtOnce(this, jobId), runs.length);
+    assert.equal(peakConcurrency(this, jobId), runs.length);
 });
 
 Then(
     "at most {int} tasks of {string} ran at the same time",
     function(this: ScenarioWorld, most: number, jobId: string) {
-        assert.ok(mostAtOnce(this, jobId) <= most, `${mostAtOnce(this, jobId)} ran at once`);
+        assert.ok(peakConcurrency(this, jobId) <= most, `${peakConcurrency(this, jobId)} ran at once`);
     },
 );
 
 Given(
-    "the team {string} may hold {int} cpuMillis",
+    "the team {string} has a quota of {int} cpuMillis",
     async function(this: ScenarioWorld, team: string, cpuMillis: number) {
         const { cell } = cellPart(this);
         const document = { ...initialDocument, quotas: [{ team, cpuMillis, memoryMib: 100_000 }] };
-        const change = answering(cell).node.configuration.apply(document, {
+        const change = readyDaemon(cell).node.configuration.apply(document, {
             expectedVersion: 0,
             author: "ana",
             reason: "a quota",
         });
-        assert.equal((await during(cell, change)).failure, undefined);
+        assert.equal((await awaitWithClock(cell, change)).failure, undefined);
         await cell.advance(2_000);
     },
 );
 
-Then("the stand-ins saw no promise broken", function(this: ScenarioWorld) {
-    assertPromises(this);
+Then("no execution guarantee was violated", function(this: ScenarioWorld) {
+    assertExecutionGuarantees(this);
 });
--- a/features/steps/journalSteps.ts
+++ b/features/steps/journalSteps.ts
@@ -8,22 +8,24 @@
 } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { createJournal, createSeededRandom, type Journal, type JournalRecord, type Meter, replay } from "puffinarch";
-import { faultsOf } from "./platformSteps.js";
+import { createTableFaults } from "./platformSteps.js";
 import { type Ending, endingOf, kindOfEnding, partOf, type ScenarioWorld } from "./support.js";
 
 interface JournalPart {
     readonly clock: FakeClock;
     readonly platform: Platform;
     readonly journal: Journal;
+    /** Results of the appends, in their order; undefined while one is pending. */
     readonly endings: (Ending<void> | undefined)[];
+    /** Writes of the table before the first append. */
     readonly writesBefore: number;
-    replaced: boolean;
+    ownershipLost: boolean;
 }
 
 const fenceKey = "unit/home/leon-feria/h1";
 const meter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
 
-const make = async (world: ScenarioWorld, batchesPerSecond: number): Promise<void> => {
+const createScenarioJournal = async (world: ScenarioWorld, batchesPerSecond: number): Promise<void> => {
     const clock = createFakeClock();
     const platform = createPlatform(clock, createSeededRandom(1), defaultPlatformLimits);
     const claimed = await platform.table.transact({
@@ -38,7 +40,7 @@
         platform,
         endings: [],
         writesBefore: platform.evidence().writes,
-        replaced: false,
+        ownershipLost: false,
         journal: createJournal({
             table: platform.table,
             clock,
@@ -52,7 +54,7 @@
                 return `b${batches}`;
             },
             onFenced: () => {
-                state.replaced = true;
+                state.ownershipLost = true;
             },
             batchesPerSecond: () => batchesPerSecond,
             urgentBatchesPerSecond: () => 0,
@@ -63,11 +65,11 @@
 };
 
 const part = (world: ScenarioWorld): JournalPart =>
-    partOf<JournalPart>(world, "journal", () => assert.fail("there is no journal"));
+    partOf<JournalPart>(world, "journal", () => assert.fail("the scenario created no journal"));
 
-const recordOf = (jobId: string): JournalRecord => ({ kind: "jobCancelled", jobId, cancelledAtMs: 0 });
+const createRecord = (jobId: string): JournalRecord => ({ kind: "jobCancelled", jobId, cancelledAtMs: 0 });
 
-const track = (state: JournalPart, call: Promise<void>): void => {
+const trackEnding = (state: JournalPart, call: Promise<void>): void => {
     const index = state.endings.push(undefined) - 1;
     void endingOf(call).then(ending => {
         state.endings[index] = ending;
@@ -75,16 +77,16 @@
 };
 
 Given("a journal", function(this: ScenarioWorld) {
-    return make(this, 1_000);
+    return createScenarioJournal(this, 1_000);
 });
 
 Given("a journal of {int} batches a second", function(this: ScenarioWorld, rate: number) {
-    return make(this, rate);
+    return createScenarioJournal(this, rate);
 });
 
 Given("the table has the fault {string} for {int} ms", function(this: ScenarioWorld, fault: string, forMs: number) {
     const { platform, clock } = part(this);
-    platform.faults.set("table", faultsOf(fault, 1));
+    platform.faults.set("table", createTableFaults(fault, 1));
     clock.setTimer(forMs, () => platform.faults.set("table", []));
 });
 
@@ -98,18 +100,18 @@
 
 When(/^(?:a|another) record is appended$/, function(this: ScenarioWorld) {
     const state = part(this);
-    track(state, state.journal.append([recordOf("j1")], false));
+    trackEnding(state, state.journal.append([createRecord("j1")], false));
 });
 
 When("a record is appended that claims the row {string}", function(this: ScenarioWorld, key: string) {
     const state = part(this);
-    track(state, state.journal.claim([recordOf("j1")], { key, value: { homeId: "h1" } }, false));
+    trackEnding(state, state.journal.claim([createRecord("j1")], { key, value: { homeId: "h1" } }, false));
 });
 
 When("{int} records are appended at once", function(this: ScenarioWorld, count: number) {
     const state = part(this);
     for (let index = 0; index < count; index += 1) {
-        track(state, state.journal.append([recordOf(`j${index}`)], false));
+        trackEnding(state, state.journal.append([createRecord(`j${index}`)], false));
     }
 });
 
@@ -118,7 +120,7 @@
     async function(this: ScenarioWorld, everyMs: number, forMs: number) {
         const state = part(this);
         for (let passedMs = 0; passedMs < forMs; passedMs += everyMs) {
-            track(state, state.journal.append([recordOf(`j${passedMs}`)], false));
+            trackEnding(state, state.journal.append([createRecord(`j${passedMs}`)], false));
             await state.clock.advance(everyMs);
         }
     },
@@ -137,8 +139,8 @@
     assert.equal(records.length, Number(times));
 });
 
-Then("the holder is told that it was replaced", function(this: ScenarioWorld) {
-    assert.equal(part(this).replaced, true);
+Then("the journal reports that it lost ownership", function(this: ScenarioWorld) {
+    assert.equal(part(this).ownershipLost, true);
 });
 
 Then("all of them are durable in at most {int} writes", function(this: ScenarioWorld, writes: number) {
--- a/features/steps/ledgerSteps.ts
+++ b/features/steps/ledgerSteps.ts
@@ -17,17 +17,18 @@
 const workerIds = ["w0", "w1", "w2"] as const;
 const capacity: Resources = { cpuMillis: 4_000, memoryMib: 4_096, accelerators: 2 };
 
-/** Operations on one ledger; `takeover` throws the ledger away and rebuilds it from what the workers run. */
+/** Operations on a ledger; `takeover` replaces it by a new one that is rebuilt from the attempts that the workers hold. */
 type Operation =
     | { readonly kind: "place"; readonly worker: number; readonly attempt: number; readonly size: Resources; }
     | { readonly kind: "finish" | "cancel"; readonly attempt: number; }
     | { readonly kind: "takeover"; };
 
+/** The expected content of the ledger: the attempts that hold capacity, with their workers and sizes. */
 interface Model {
     readonly held: Map<string, { readonly workerId: string; readonly size: Resources; }>;
 }
 
-const freshLedger = (): Ledger => {
+const createOpenLedger = (): Ledger => {
     const ledger = createLedger();
     for (const workerId of workerIds) {
         ledger.addWorker(workerId, "r0", capacity);
@@ -45,24 +46,24 @@
 const applyPlace = (ledger: Ledger, model: Model, operation: Extract<Operation, { kind: "place"; }>): void => {
     const workerId = workerIds[operation.worker] ?? "";
     const attemptId = `a${operation.attempt}`;
-    const known = model.held.get(attemptId);
-    const room = fits(add(heldOn(model, workerId), operation.size), capacity);
-    const expected = known === undefined ? room : known.workerId === workerId;
+    const heldAttempt = model.held.get(attemptId);
+    const hasCapacity = fits(add(heldOn(model, workerId), operation.size), capacity);
+    const expected = heldAttempt === undefined ? hasCapacity : heldAttempt.workerId === workerId;
     assert.equal(ledger.reserve(workerId, attemptId, operation.size), expected);
-    if (known === undefined && room) {
+    if (heldAttempt === undefined && hasCapacity) {
         model.held.set(attemptId, { workerId, size: operation.size });
     }
 };
 
-const rebuild = (model: Model): Ledger => {
-    const ledger = freshLedger();
+const rebuildLedger = (model: Model): Ledger => {
+    const ledger = createOpenLedger();
     for (const [attemptId, { workerId, size }] of model.held) {
         ledger.adopt(workerId, attemptId, size);
     }
     return ledger;
 };
 
-const agree = (ledger: Ledger, model: Model): void => {
+const assertConsistent = (ledger: Ledger, model: Model): void => {
     for (const workerId of workerIds) {
         const worker = ledger.worker(workerId);
         assert.ok(worker);
@@ -71,53 +72,57 @@
     }
 };
 
-const runAll = (operations: readonly Operation[]): void => {
+const runOperations = (operations: readonly Operation[]): void => {
     const model: Model = { held: new Map() };
-    let ledger = freshLedger();
+    let ledger = createOpenLedger();
     for (const operation of operations) {
         if (operation.kind === "place") {
             applyPlace(ledger, model, operation);
         }
         else if (operation.kind === "takeover") {
-            ledger = rebuild(model);
+            ledger = rebuildLedger(model);
         }
         else {
             ledger.release(`a${operation.attempt}`);
             model.held.delete(`a${operation.attempt}`);
         }
-        agree(ledger, model);
+        assertConsistent(ledger, model);
     }
 };
 
-const sizes = fc.record({
+const sizeArbitrary = fc.record({
     cpuMillis: fc.integer({ min: 1, max: 4_500 }),
     memoryMib: fc.integer({ min: 1, max: 4_500 }),
     accelerators: fc.integer({ min: 0, max: 3 }),
 });
-const attempts = fc.integer({ min: 0, max: 12 });
+const attemptArbitrary = fc.integer({ min: 0, max: 12 });
 const operations: fc.Arbitrary<Operation> = fc.oneof(
     {
         weight: 5,
         arbitrary: fc.record({
             kind: fc.constant("place" as const),
             worker: fc.integer({ min: 0, max: 2 }),
-            attempt: attempts,
-            size: sizes,
+            attempt: attemptArbitrary,
+            size: sizeArbitrary,
         }),
     },
     {
         weight: 3,
-        arbitrary: fc.record({ kind: fc.constantFrom("finish" as const, "cancel" as const), attempt: attempts }),
+        arbitrary: fc.record({
+            kind: fc.constantFrom("finish" as const, "cancel" as const),
+            attempt: attemptArbitrary,
+        }),
     },
     { weight: 1, arbitrary: fc.record({ kind: fc.constant("takeover" as const) }) },
 );
 
 When("{int} random interleavings run against a ledger and a model", function(this: ScenarioWorld, runs: number) {
-    fc.assert(fc.property(fc.array(operations, { maxLength: 60 }), runAll), { seed: 20_261_202, numRuns: runs });
+    fc.assert(fc.property(fc.array(operations, { maxLength: 60 }), runOperations), { seed: 20_261_202, numRuns: runs });
     partOf(this, "interleavings", () => runs);
 });
 
-Then("the ledger never holds more than a worker has", function(this: ScenarioWorld) {
+// The next two steps only require that the interleavings ran: `assertConsistent` checks both after each operation.
+Then("the ledger never reserves more than a worker's capacity", function(this: ScenarioWorld) {
     assert.ok(this.parts.has("interleavings"));
 });
 
@@ -127,7 +132,7 @@
 
 const ledgerOf = (world: ScenarioWorld): Ledger => partOf(world, "ledger", createLedger);
 
-Given("open workers with this room", function(this: ScenarioWorld, table: DataTable) {
+Given("open workers with this capacity", function(this: ScenarioWorld, table: DataTable) {
     const ledger = ledgerOf(this);
     for (const row of table.hashes()) {
         const workerId = row["worker"] ?? "";
@@ -144,7 +149,12 @@
     ledgerOf(this).setOpen(workerId, false);
 });
 
-const choose = (ledger: Ledger, name: PlacementName, cpuMillis: number, memoryMib: number): string | undefined =>
+const chooseWorkerId = (
+    ledger: Ledger,
+    name: PlacementName,
+    cpuMillis: number,
+    memoryMib: number,
+): string | undefined =>
     placements[name]({
         ledger,
         size: { cpuMillis, memoryMib, accelerators: 0 },
@@ -156,7 +166,7 @@
 Then(
     "the policy {string} chooses {string} for a task of {int} cpuMillis and {int} memoryMib",
     function(this: ScenarioWorld, name: string, workerId: string, cpuMillis: number, memoryMib: number) {
-        assert.equal(choose(ledgerOf(this), name as PlacementName, cpuMillis, memoryMib), workerId);
+        assert.equal(chooseWorkerId(ledgerOf(this), name as PlacementName, cpuMillis, memoryMib), workerId);
     },
 );
 
@@ -164,7 +174,7 @@
     "no policy chooses a worker for a task of {int} cpuMillis and {int} memoryMib",
     function(this: ScenarioWorld, cpuMillis: number, memoryMib: number) {
         for (const name of Object.keys(placements)) {
-            assert.equal(choose(ledgerOf(this), name as PlacementName, cpuMillis, memoryMib), undefined);
+            assert.equal(chooseWorkerId(ledgerOf(this), name as PlacementName, cpuMillis, memoryMib), undefined);
         }
     },
 );
--- a/features/steps/loadSteps.ts
+++ b/features/steps/loadSteps.ts
@@ -29,49 +29,50 @@
 } from "puffinarch";
 import { partOf, type ScenarioWorld } from "./support.js";
 
-interface Part {
+interface LoadPart {
     policies: ShardPolicies | undefined;
     outcomes: Readonly<Record<string, LoadOutcome>>;
     breaches: readonly string[];
-    placed: Placed | undefined;
+    placed: StepPlacement | undefined;
     gangWaitedMs: number;
 }
 
-/** A step that is placed without a cell around it. */
-interface Placed {
+/** A step whose tasks are placed directly by the placing module, without a cell. */
+interface StepPlacement {
     readonly clock: FakeClock;
     readonly placing: Placing;
+    /** Indices of the tasks that were placed on the responsive worker. */
     readonly runs: () => number[];
 }
 
-const part = (world: ScenarioWorld): Part =>
+const part = (world: ScenarioWorld): LoadPart =>
     partOf(
         world,
         "load",
         () => ({
             policies: undefined,
             outcomes: {},
-            breaches: ["nothing was played"],
+            breaches: ["no load was run"],
             placed: undefined,
             gangWaitedMs: Infinity,
         }),
     );
 
-const nameIn = <T extends string>(names: readonly T[], text: string): T =>
-    names.find(name => name === text) ?? assert.fail(`"${text}" is none of ${names.join(", ")}`);
+const parseName = <T extends string>(names: readonly T[], text: string): T =>
+    names.find(name => name === text) ?? assert.fail(`"${text}" is not one of ${names.join(", ")}`);
 
 Given(
     "workers of 8 accelerators with policies {string}, {string}, {string}",
     function(this: ScenarioWorld, order: string, packing: string, room: string) {
         part(this).policies = {
-            order: nameIn(Object.keys(turnOrders) as (keyof typeof turnOrders)[], order),
-            packing: nameIn(Object.keys(packings) as (keyof typeof packings)[], packing),
-            room: nameIn(roomPolicies, room),
+            order: parseName(Object.keys(turnOrders) as (keyof typeof turnOrders)[], order),
+            packing: parseName(Object.keys(packings) as (keyof typeof packings)[], packing),
+            room: parseName(roomPolicies, room),
         };
     },
 );
 
-const play = async (world: ScenarioWorld, kinds: readonly LoadKind[], forMs: number): Promise<void> => {
+const runLoad = async (world: ScenarioWorld, kinds: readonly LoadKind[], forMs: number): Promise<void> => {
     const { policies } = part(world);
     const cell = createLoadCell(kinds, { workers: 4, seed: 1, goodPercent: 50, ...(policies && { policies }) });
     part(world).outcomes = await playLoad(cell, kinds, { forMs, restMs: 10_000 });
@@ -79,32 +80,32 @@
 };
 
 When(
-    "large and small jobs come at {float} times the load for {int} ms",
+    "large and small jobs arrive at {float} times the nominal load for {int} ms",
     async function(this: ScenarioWorld, factor: number, forMs: number) {
-        await play(this, acceleratorLoad(factor), forMs);
+        await runLoad(this, acceleratorLoad(factor), forMs);
     },
 );
 
 Then(
     /^(\d+) to (\d+) percent of the (\w+) jobs are in time$/,
     function(this: ScenarioWorld, least: string, most: string, kind: string) {
-        const outcome = part(this).outcomes[kind] ?? assert.fail(`there are no ${kind} jobs`);
+        const outcome = part(this).outcomes[kind] ?? assert.fail(`the load has no ${kind} jobs`);
         const share = 100 * outcome.inTime / outcome.asked;
         assert.ok(share >= Number(least) && share <= Number(most), `${share} percent: ${JSON.stringify(outcome)}`);
     },
 );
 
 Given(
-    "a step of {int} tasks whose first one failed on the only worker that answers, while another is silent",
+    "a step of {int} tasks whose first task failed on the only responsive worker, while another worker is silent",
     function(this: ScenarioWorld, count: number) {
-        const [only, silent] = ["i-1", "i-2"].map((workerId, index) => {
+        const [responsiveWorker, silentWorker] = ["i-1", "i-2"].map((workerId, index) => {
             const worker = newWorker(workerEntry(workerId, index), 5_000);
             worker.certain = true;
             worker.clock = { localMs: 0, clockMs: 0 };
             return worker;
         });
-        assert.ok(only !== undefined && silent !== undefined);
-        silent.silentLooks = 3;
+        assert.ok(responsiveWorker !== undefined && silentWorker !== undefined);
+        silentWorker.silentLooks = 3;
         const submission = {
             jobId: "00000000000000a1",
             queueKey: testQueue.key,
@@ -115,45 +116,50 @@
         };
         const job = newJob(submission, testQueue, { acceptedAtMs: 0, order: 1 });
         const step = job.occurrences.get(0)?.steps[0];
-        // So late that after 6 s it is the end of the silent worker's leases that counts.
+        // A task avoids a worker for 2 s after it failed there: until 5 s here, when the silent worker's leases end too.
         step?.tasks[0]?.failedOn.set("i-1", 3_000);
         step?.advice.asked.add("i-1");
         step?.advice.good.set("i-1", { ticket: "t", validUntilMs: 60_000 });
         const clock = createFakeClock();
-        const quiet = { write: () => {} };
+        const silentLog = { write: () => {} };
         const meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
         const placing = createPlacing({
             clock,
-            log: quiet,
+            log: silentLog,
             meter,
             settings: defaultShardSettings,
-            workers: new Map([["i-1", only], ["i-2", silent]]),
-            desk: createAdviceDesk({ clock, log: quiet, meter, lanes: () => [], call: () => assert.fail() }),
+            workers: new Map([["i-1", responsiveWorker], ["i-2", silentWorker]]),
+            desk: createAdviceDesk({ clock, log: silentLog, meter, lanes: () => [], call: () => assert.fail() }),
             onPlanned: () => {},
             onPreempt: () => {},
             wake: () => {},
         });
         placing.consider(job);
-        part(this).placed = { clock, placing, runs: () => [...only.runs.values()].map(run => run.task.index) };
+        part(this).placed = {
+            clock,
+            placing,
+            runs: () => [...responsiveWorker.runs.values()].map(run => run.task.index),
+        };
     },
 );
 
-const placed = (world: ScenarioWorld): Placed => part(world).placed ?? assert.fail("no step is placed");
+const placed = (world: ScenarioWorld): StepPlacement =>
+    part(world).placed ?? assert.fail("the scenario has no step to place");
 
 When("the step is placed", function(this: ScenarioWorld) {
     placed(this).placing.pass();
 });
 
-When("the step is placed after the leases of the silent worker", async function(this: ScenarioWorld) {
+When("the step is placed after the leases of the silent worker have expired", async function(this: ScenarioWorld) {
     await placed(this).clock.advance(6_000);
     placed(this).placing.pass();
 });
 
-Then("tasks {string} run on the worker that answers", function(this: ScenarioWorld, indices: string) {
+Then("tasks {string} run on the responsive worker", function(this: ScenarioWorld, indices: string) {
     assert.equal(placed(this).runs().sort().join(", "), indices);
 });
 
-Then("no worker held more than it has", function(this: ScenarioWorld) {
+Then("no capacity limit or execution guarantee was violated", function(this: ScenarioWorld) {
     assert.deepEqual(part(this).breaches, []);
 });
 
@@ -162,7 +168,7 @@
 const streamForMs = 40_000;
 
 When(
-    "tasks of {int} cores for {int} ms come to {int} workers each {int} ms, and after {int} ms a more urgent gang of {int} cores, seed {int}",
+    "tasks of {int} cores for {int} ms arrive at {int} workers every {int} ms, and after {int} ms a more urgent gang of {int} cores, seed {int}",
     async function(
         this: ScenarioWorld,
         cores: number,
@@ -190,14 +196,14 @@
         await cell.clock.advance(gangAfterMs);
         cell.submit(gangId, readSteps(`${workers} gang of ${gangCores} cores for 1000 ms`));
         const submittedAtMs = cell.clock.monotonicMs();
-        const begins = (): number | undefined =>
+        const firstStartedAtMs = (): number | undefined =>
             cell.workers.evidence.find(({ taskName }) => taskName.startsWith(gangId))?.startedAtMs;
-        await cell.until(() => begins() !== undefined, streamForMs);
-        part(this).gangWaitedMs = (begins() ?? Infinity) - submittedAtMs;
+        await cell.until(() => firstStartedAtMs() !== undefined, streamForMs);
+        part(this).gangWaitedMs = (firstStartedAtMs() ?? Infinity) - submittedAtMs;
     },
 );
 
-Then("the gang begins within {int} ms", function(this: ScenarioWorld, limitMs: number) {
+Then("the gang starts within {int} ms", function(this: ScenarioWorld, limitMs: number) {
     const waitedMs = part(this).gangWaitedMs;
-    assert.ok(waitedMs <= limitMs, `it begins after ${waitedMs} ms`);
+    assert.ok(waitedMs <= limitMs, `the gang started after ${waitedMs} ms`);
 });
--- a/features/steps/logSteps.ts
+++ b/features/steps/logSteps.ts
@@ -4,16 +4,19 @@
 import type { Readable } from "node:stream";
 import { partOf, type ScenarioWorld } from "./support.js";
 
-interface Part {
+interface LogPart {
     child: ChildProcessByStdio<null, Readable, Readable> | undefined;
     lines: readonly Readonly<Record<string, unknown>>[];
 }
 
-const part = (world: ScenarioWorld): Part => partOf(world, "log", () => ({ child: undefined, lines: [] }));
+const part = (world: ScenarioWorld): LogPart => partOf(world, "log", () => ({ child: undefined, lines: [] }));
 
-const patienceMs = 60_000;
-/** Says on standard error when all lines are logged, and logs one more after a moment in which it is read. */
-const scriptFor = (lines: number): string =>
+const stepTimeoutMs = 60_000;
+/**
+ * Returns the source of a process that logs the lines, writes to standard error when it is done, and then logs a line "last"
+ * every 200 ms, so that a reader that starts late gets the buffered lines and the end of the output.
+ */
+const createLoggingScript = (lines: number): string =>
     `import { createLog, openLogOutput, standardOutput } from "puffinarchd";
     import { createSystemClock } from "puffinarch";
     const output = openLogOutput(standardOutput);
@@ -29,21 +32,21 @@
     }, 200);
     process.on("SIGTERM", () => { clearInterval(wait); void output.flush().then(() => process.exit(0)); });`;
 
-const start = (world: ScenarioWorld, lines: number): ChildProcessByStdio<null, Readable, Readable> => {
-    const child = spawn(process.execPath, ["--input-type=module", "-e", scriptFor(lines)], {
+const startLoggingProcess = (world: ScenarioWorld, lines: number): ChildProcessByStdio<null, Readable, Readable> => {
+    const child = spawn(process.execPath, ["--input-type=module", "-e", createLoggingScript(lines)], {
         stdio: ["ignore", "pipe", "pipe"],
     });
     part(world).child = child;
     return child;
 };
 
-const logged = (child: ChildProcessByStdio<null, Readable, Readable>): Promise<string> =>
+const readStandardError = (child: ChildProcessByStdio<null, Readable, Readable>): Promise<string> =>
     new Promise(resolve => {
         child.stderr.once("data", (data: Buffer) => resolve(data.toString("utf8")));
     });
 
-/** Reads until a line says that it is the last. */
-const readAll = async (child: ChildProcessByStdio<null, Readable, Readable>): Promise<Part["lines"]> => {
+/** Reads the log up to a line "last", and kills the process. */
+const readToLastLine = async (child: ChildProcessByStdio<null, Readable, Readable>): Promise<LogPart["lines"]> => {
     let text = "";
     for await (const data of child.stdout) {
         text += String(data);
@@ -58,37 +61,37 @@
 Given(
     "a process that logs {int} lines to a standard output that nobody reads",
     function(this: ScenarioWorld, lines: number) {
-        start(this, lines);
+        startLoggingProcess(this, lines);
     },
 );
 
-Then("it goes on to its end", { timeout: patienceMs }, async function(this: ScenarioWorld) {
+Then("it logs all lines without blocking", { timeout: stepTimeoutMs }, async function(this: ScenarioWorld) {
     const { child } = part(this);
     assert.ok(child !== undefined);
-    assert.equal(await logged(child), "logged");
+    assert.equal(await readStandardError(child), "logged");
 });
 
 Then(
-    "its output, read then, tells how many lines were left out",
-    { timeout: patienceMs },
+    "its output, when read afterwards, reports how many lines were dropped",
+    { timeout: stepTimeoutMs },
     async function(this: ScenarioWorld) {
         const { child } = part(this);
         assert.ok(child !== undefined);
-        const lines = await readAll(child);
+        const lines = await readToLastLine(child);
         const dropped = lines.find(line => line["event"] === "logDropped");
-        assert.ok(Number(dropped?.["lines"]) > 0, "no line tells what was left out");
+        assert.ok(Number(dropped?.["lines"]) > 0, "no log line reports dropped lines");
     },
 );
 
 Given(
     "a process that logs {int} lines to a standard output that is read",
-    { timeout: patienceMs },
+    { timeout: stepTimeoutMs },
     async function(this: ScenarioWorld, lines: number) {
-        part(this).lines = await readAll(start(this, lines));
+        part(this).lines = await readToLastLine(startLoggingProcess(this, lines));
     },
 );
 
-Then("all {int} lines came, in order", function(this: ScenarioWorld, count: number) {
+Then("all {int} lines are read in order", function(this: ScenarioWorld, count: number) {
     const numbers = part(this).lines.filter(line => line["event"] === "line").map(line => line["number"]);
     assert.deepEqual(numbers, Array.from({ length: count }, (_, number) => number));
 });
--- a/features/steps/peerSteps.ts
+++ b/features/steps/peerSteps.ts
@@ -6,17 +6,18 @@
 import { daemonAddress } from "./daemonSteps.js";
 import { type Ending, endingOf, kindOfEnding, partOf, type ScenarioWorld } from "./support.js";
 
+/** Input of each call between daemons that the features use. */
 const inputs: Readonly<Record<string, unknown>> = {
     daemon: { detail: false },
     job: { jobId: "missing" },
     report: { homeId: "nobody~1", reports: [] },
 };
 
-/** A peer that takes connections and never answers; `hangUp` closes them once something was sent. */
-const startMute = (world: ScenarioWorld, hangUp: boolean): Promise<string> =>
+/** Starts a peer that accepts connections and never answers; `closeOnData` makes it close a connection once it receives data. */
+const startUnresponsivePeer = (world: ScenarioWorld, closeOnData: boolean): Promise<string> =>
     new Promise(resolve => {
         const server: Server = createServer(socket => {
-            socket.on("data", () => hangUp && socket.destroy());
+            socket.on("data", () => closeOnData && socket.destroy());
             socket.on("error", () => undefined);
             world.closers.push(async () => void socket.destroy());
         });
@@ -27,8 +28,8 @@
         });
     });
 
-/** An address that was listened on and is no more. */
-const freedAddress = (): Promise<string> =>
+/** Returns an address on which nothing listens, by closing a server that listened on it. */
+const findClosedAddress = (): Promise<string> =>
     new Promise(resolve => {
         const server = createServer();
         server.listen(0, "127.0.0.1", () => {
@@ -37,16 +38,16 @@
         });
     });
 
-const addresses: Readonly<Record<string, (world: ScenarioWorld) => Promise<string>>> = {
+const addressFactories: Readonly<Record<string, (world: ScenarioWorld) => Promise<string>>> = {
     "all is well": async world => daemonAddress(world),
     "the home is not held there": async world => daemonAddress(world),
-    "nobody listens": freedAddress,
-    "the peer accepts and is silent": world => startMute(world, false),
-    "the peer hangs up": world => startMute(world, true),
+    "nobody listens": findClosedAddress,
+    "the peer accepts and is silent": world => startUnresponsivePeer(world, false),
+    "the peer hangs up": world => startUnresponsivePeer(world, true),
 };
 
 When(/^a peer calls "([^"]*)" and (.+)$/, async function(this: ScenarioWorld, name: string, situation: string) {
-    const address = await addresses[situation]?.(this) ?? assert.fail(`no situation is named ${situation}`);
+    const address = await addressFactories[situation]?.(this) ?? assert.fail(`unknown situation "${situation}"`);
     const peers = createTrpcPeers({ timeoutMs: 300, meter: createMeter() });
     this.closers.push(peers.close);
     const ending = await endingOf<unknown>(peers.call(address, name as PeerCallName, inputs[name] as never));
@@ -54,6 +55,10 @@
 });
 
 Then("the call ends as {string}", function(this: ScenarioWorld, expected: string) {
-    const { ending } = partOf<{ ending: Ending<unknown>; }>(this, "peerCall", () => assert.fail("nothing was called"));
+    const { ending } = partOf<{ ending: Ending<unknown>; }>(
+        this,
+        "peerCall",
+        () => assert.fail("the scenario made no call"),
+    );
     assert.equal(kindOfEnding(ending, "answered"), expected, JSON.stringify(ending));
 });
--- a/features/steps/placementSteps.ts
+++ b/features/steps/placementSteps.ts
@@ -2,16 +2,25 @@
 import { groupBy } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { defaultNodeSettings, initialDocument } from "puffinarch";
-import { answering, cellPart, during, specOf, startCell, submit, tasksOf, untilEnded } from "./cellPart.js";
+import {
+    awaitWithClock,
+    cellPart,
+    createJobSpec,
+    readyDaemon,
+    startCell,
+    submit,
+    tasksOf,
+    waitUntilFinal,
+} from "./cellPart.js";
 import { type ScenarioWorld } from "./support.js";
 
-const home = "leon-feria-e0";
+const homeVmId = "leon-feria-e0";
 
 Given("a cell whose homes take a snapshot every {int} batches", function(this: ScenarioWorld, snapshotBatches: number) {
     return startCell(this, { settings: { ...defaultNodeSettings, snapshotBatches, maintainIntervalMs: 500 } });
 });
 
-Given("a cell whose homes forget jobs after {int} ms", function(this: ScenarioWorld, retentionMs: number) {
+Given("a cell whose homes delete ended jobs after {int} ms", function(this: ScenarioWorld, retentionMs: number) {
     return startCell(this, {
         settings: { ...defaultNodeSettings, retentionMs, snapshotBatches: 3, maintainIntervalMs: 500 },
     });
@@ -20,15 +29,15 @@
 Given(
     "a job with {int} tasks of {int} ms is submitted through {string}",
     function(this: ScenarioWorld, tasks: number, runMs: number, vmId: string) {
-        return submit(this, cellPart(this).cell.daemon(vmId), specOf("load-1", { tasks, script: { runMs } }));
+        return submit(this, cellPart(this).cell.daemon(vmId), createJobSpec("load-1", { tasks, script: { runMs } }));
     },
 );
 
 When(
     /^a job with (\d+) tasks of (\d+) ms is submitted for the team "([^"]*)"$/,
     function(this: ScenarioWorld, tasks: string, runMs: string, team: string) {
-        const spec = specOf(`job-of-${team}`, { tasks: Number(tasks), team, script: { runMs: Number(runMs) } });
-        return submit(this, cellPart(this).cell.daemon(home), spec);
+        const spec = createJobSpec(`job-of-${team}`, { tasks: Number(tasks), team, script: { runMs: Number(runMs) } });
+        return submit(this, cellPart(this).cell.daemon(homeVmId), spec);
     },
 );
 
@@ -37,8 +46,8 @@
     function(this: ScenarioWorld, tasks: number, runMs: number, usedShare: number) {
         return submit(
             this,
-            cellPart(this).cell.daemon(home),
-            specOf("load-1", { tasks, script: { runMs, usedShare } }),
+            cellPart(this).cell.daemon(homeVmId),
+            createJobSpec("load-1", { tasks, script: { runMs, usedShare } }),
         );
     },
 );
@@ -51,13 +60,17 @@
         const { cell } = cellPart(this);
         waveCount += 1;
         for (let index = 0; index < jobs; index += 1) {
-            await submit(this, cell.daemon(home), specOf(`wave-${waveCount}-${index}`, { tasks, script: { runMs } }));
+            await submit(
+                this,
+                cell.daemon(homeVmId),
+                createJobSpec(`wave-${waveCount}-${index}`, { tasks, script: { runMs } }),
+            );
             await cell.advance(everyMs);
         }
     },
 );
 
-Given("the worker {string} fails everything", function(this: ScenarioWorld, workerId: string) {
+Given("the worker {string} fails every task", function(this: ScenarioWorld, workerId: string) {
     cellPart(this).cell.worker(workerId).setFaults({ failsEverything: true });
 });
 
@@ -70,15 +83,16 @@
         priority,
     }];
     const context = { expectedVersion: 0, author: "ana", reason: "urgent work" };
-    const change = answering(cell).node.configuration.apply({ ...initialDocument, workloadClasses }, context);
-    assert.equal((await during(cell, change)).failure, undefined);
+    const change = readyDaemon(cell).node.configuration.apply({ ...initialDocument, workloadClasses }, context);
+    assert.equal((await awaitWithClock(cell, change)).failure, undefined);
     await cell.advance(2_000);
 });
 
-const statesOfWorkers = async (world: ScenarioWorld): Promise<ReadonlyMap<string, string>> => {
+const readWorkerStates = async (world: ScenarioWorld): Promise<ReadonlyMap<string, string>> => {
     const { cell } = cellPart(world);
-    const { answers } = (await during(cell, answering(cell).node.callAll("workers", { dataCentre: "" }))).value
-        ?? assert.fail("nobody answers");
+    const { answers } =
+        (await awaitWithClock(cell, readyDaemon(cell).node.callAll("workers", { dataCentre: "" }))).value
+            ?? assert.fail("no daemon returned its workers");
     return new Map(answers.flat().map(view => [view.workerId, view.state]));
 };
 
@@ -87,28 +101,28 @@
     assert.ok(made <= most, `${made} attempts`);
 });
 
-Then("the worker {string} is trusted again", async function(this: ScenarioWorld, workerId: string) {
-    assert.equal((await statesOfWorkers(this)).get(workerId), "live");
+Then("the worker {string} is live again", async function(this: ScenarioWorld, workerId: string) {
+    assert.equal((await readWorkerStates(this)).get(workerId), "live");
 });
 
-Then("every worker is trusted", async function(this: ScenarioWorld) {
-    assert.deepEqual(new Set((await statesOfWorkers(this)).values()), new Set(["live"]));
+Then("every worker is live", async function(this: ScenarioWorld) {
+    assert.deepEqual(new Set((await readWorkerStates(this)).values()), new Set(["live"]));
 });
 
-/** How long after its job's acceptance each task of a job first started. */
-const waitsOf = async (world: ScenarioWorld, jobId: string): Promise<readonly number[]> => {
+/** Returns the time in ms from queueing to the first start for each task of a job. */
+const readStartDelays = async (world: ScenarioWorld, jobId: string): Promise<readonly number[]> => {
     const { cell } = cellPart(world);
     const tasks = await tasksOf(cell, jobId);
-    const firsts = groupBy(cell.executions(), each => each.taskId);
+    const executionsByTask = groupBy(cell.executions(), each => each.taskId);
     return tasks.map(task =>
-        Math.min(...(firsts.get(task.taskId) ?? []).map(each => each.startedAtMs)) - task.queuedAtMs
+        Math.min(...(executionsByTask.get(task.taskId) ?? []).map(each => each.startedAtMs)) - task.queuedAtMs
     );
 };
 
 Then(
     "the tasks of {string} waited at most {int} ms",
     async function(this: ScenarioWorld, jobId: string, mostMs: number) {
-        const waits = await waitsOf(this, jobId);
+        const waits = await readStartDelays(this, jobId);
         assert.ok(waits.length > 0 && waits.every(wait => wait <= mostMs), waits.join(", "));
     },
 );
@@ -123,18 +137,22 @@
 const wholeWorkerJob = "whole-worker";
 
 When(
-    "small tasks fill the cell for {int} ms and a task of a whole worker is submitted",
+    "small tasks fill the cell for {int} ms and a task that needs a whole worker is submitted",
     async function(this: ScenarioWorld, forMs: number) {
         const { cell } = cellPart(this);
         const everyMs = 400;
         for (let passedMs = 0; passedMs < forMs; passedMs += everyMs) {
-            await submit(this, cell.daemon(home), specOf(`small-${passedMs}`, { tasks: 6, script: { runMs: 1_500 } }));
+            await submit(
+                this,
+                cell.daemon(homeVmId),
+                createJobSpec(`small-${passedMs}`, { tasks: 6, script: { runMs: 1_500 } }),
+            );
             if (passedMs === 10 * everyMs) {
                 const taskSize = { cpuMillis: 4_000, memoryMib: 512, accelerators: 0 };
                 await submit(
                     this,
-                    cell.daemon(home),
-                    specOf(wholeWorkerJob, { tasks: 1, taskSize, script: { runMs: 500 } }),
+                    cell.daemon(homeVmId),
+                    createJobSpec(wholeWorkerJob, { tasks: 1, taskSize, script: { runMs: 500 } }),
                 );
             }
             await cell.advance(everyMs);
@@ -142,13 +160,13 @@
     },
 );
 
-Then("the whole worker's task waited at most {int} ms", async function(this: ScenarioWorld, mostMs: number) {
-    const [waitedMs = Infinity] = await waitsOf(this, wholeWorkerJob);
+Then("the task that needs a whole worker waited at most {int} ms", async function(this: ScenarioWorld, mostMs: number) {
+    const [waitedMs = Infinity] = await readStartDelays(this, wholeWorkerJob);
     assert.ok(waitedMs <= mostMs, `${waitedMs} ms`);
 });
 
 Then("the job of the team {string} ends within {int} ms", function(this: ScenarioWorld, team: string, limitMs: number) {
-    return untilEnded(cellPart(this).cell, `job-of-${team}`, limitMs);
+    return waitUntilFinal(cellPart(this).cell, `job-of-${team}`, limitMs);
 });
 
 Then(
@@ -160,28 +178,28 @@
     },
 );
 
-When("{int} jobs wait for room", async function(this: ScenarioWorld, count: number) {
+When("{int} jobs wait for capacity", async function(this: ScenarioWorld, count: number) {
     const state = cellPart(this);
-    const daemon = state.cell.daemon(home);
+    const daemon = state.cell.daemon(homeVmId);
     const blocked = { taskSize: { cpuMillis: 4_000, memoryMib: 512, accelerators: 1 }, script: { runMs: 600_000 } };
-    await submit(this, daemon, specOf("blocker", { ...blocked, tasks: 4 }));
+    await submit(this, daemon, createJobSpec("blocker", { ...blocked, tasks: 4 }));
     await state.cell.advance(2_000);
     for (let start = 0; start < count; start += 2_500) {
         const wave = Array.from(
             { length: 2_500 },
-            (_none, index) => daemon.node.jobs.submit(specOf(`wait-${start + index}`, { ...blocked, tasks: 1 })),
+            (_none, index) => daemon.node.jobs.submit(createJobSpec(`wait-${start + index}`, { ...blocked, tasks: 1 })),
         );
-        const ending = await during(state.cell, Promise.all(wave));
+        const ending = await awaitWithClock(state.cell, Promise.all(wave));
         assert.equal(ending.failure, undefined);
         ending.value?.forEach(job => state.jobIds.add(job.spec.jobId));
     }
 });
 
-When("all of them are cancelled at once", async function(this: ScenarioWorld) {
+When("all waiting jobs are cancelled at once", async function(this: ScenarioWorld) {
     const state = cellPart(this);
-    const { node } = state.cell.daemon(home);
+    const { node } = state.cell.daemon(homeVmId);
     const before = state.cell.total("journalBatches");
-    const ending = await during(
+    const ending = await awaitWithClock(
         state.cell,
         Promise.all([...state.jobIds].filter(jobId => jobId !== "blocker").map(jobId => node.jobs.cancel(jobId))),
     );
@@ -189,15 +207,15 @@
     this.parts.set("waveWrites", state.cell.total("journalBatches") - before);
 });
 
-Then("the wave took at most {int} writes", function(this: ScenarioWorld, most: number) {
+Then("the cancellations took at most {int} journal writes", function(this: ScenarioWorld, most: number) {
     const writes = Number(this.parts.get("waveWrites"));
     assert.ok(writes > 0 && writes <= most, `${writes} writes`);
 });
 
-Then("all of them are cancelled", async function(this: ScenarioWorld) {
+Then("all waiting jobs are cancelled and none of their tasks ran", async function(this: ScenarioWorld) {
     const { cell, jobIds } = cellPart(this);
     for (const jobId of jobIds) {
-        const job = cell.daemon(home).node.jobs.get(jobId);
+        const job = cell.daemon(homeVmId).node.jobs.get(jobId);
         assert.equal((await job).cancelled, jobId !== "blocker");
     }
     assert.equal(cell.executions().length, 4);
@@ -243,7 +261,7 @@
     function(this: ScenarioWorld, least: number, lastMs: number) {
         const { cell } = cellPart(this);
         const started = cell.executions().filter(each => each.startedAtMs >= cell.clock.nowMs() - lastMs).length;
-        assert.ok(started >= least, `${started} were started`);
+        assert.ok(started >= least, `${started} tasks were started`);
     },
 );
 
@@ -259,25 +277,28 @@
     }
 });
 
-Given("{int} racks of other data centres are owned by others", async function(this: ScenarioWorld, racks: number) {
-    const { cell } = cellPart(this);
-    for (let index = 0; index < racks; index += 1) {
-        const key = `unit/rack/dc-${index % 30}/r${index}`;
-        const value = {
-            key,
-            kind: "rack",
-            dataCentre: `dc-${index % 30}`,
-            name: `r${index}`,
-            owner: `far-${index % 30}~1`,
-        };
-        await cell.platform.table.transact({ conditions: [], puts: [{ key, value }], deletes: [] });
-        if (index % 200 === 0) {
-            await cell.advance(1_000);
+Given(
+    "{int} racks of other data centres are owned by other daemons",
+    async function(this: ScenarioWorld, racks: number) {
+        const { cell } = cellPart(this);
+        for (let index = 0; index < racks; index += 1) {
+            const key = `unit/rack/dc-${index % 30}/r${index}`;
+            const value = {
+                key,
+                kind: "rack",
+                dataCentre: `dc-${index % 30}`,
+                name: `r${index}`,
+                owner: `far-${index % 30}~1`,
+            };
+            await cell.platform.table.transact({ conditions: [], puts: [{ key, value }], deletes: [] });
+            if (index % 200 === 0) {
+                await cell.advance(1_000);
+            }
         }
-    }
-    await cell.advance(2_000);
-    this.parts.set("readsBefore", cell.platform.evidence().reads);
-});
+        await cell.advance(2_000);
+        this.parts.set("readsBefore", cell.platform.evidence().reads);
+    },
+);
 
 Then("the platform answered at most {int} reads meanwhile", function(this: ScenarioWorld, most: number) {
     const reads = cellPart(this).cell.platform.evidence().reads - Number(this.parts.get("readsBefore") ?? 0);
--- a/features/steps/platformSteps.ts
+++ b/features/steps/platformSteps.ts
@@ -34,12 +34,12 @@
     });
 
 /**
- * Makes the fault of a word in a feature.
+ * Creates the faults of the table for a fault name in a feature; "none" gives an empty list.
  *
  * @example
- * faultOf("refuse", 1);
+ * createTableFaults("refuse", 1);
  */
-export const faultsOf = (kind: string, probability: number): readonly Fault[] =>
+export const createTableFaults = (kind: string, probability: number): readonly Fault[] =>
     kind === "none" ? [] : [{ target: "table", kind: kind as Fault["kind"], probability, delayMs: 500 }];
 
 Given("a platform behind the {string} adapter", async function(this: ScenarioWorld, adapter: string) {
@@ -63,11 +63,11 @@
 );
 
 Given("the table has the fault {string}", function(this: ScenarioWorld, fault: string) {
-    part(this).platform.faults.set("table", faultsOf(fault, 1));
+    part(this).platform.faults.set("table", createTableFaults(fault, 1));
 });
 
-/** Calls while moving the fake clock, since a slow answer waits on it. */
-const during = async <T>(clock: FakeClock, call: Promise<T>): Promise<T> => {
+/** Advances the fake clock by 1 s during a call: the platform delays slow answers by this clock. */
+const awaitWithClock = async <T>(clock: FakeClock, call: Promise<T>): Promise<T> => {
     await clock.advance(1_000);
     return call;
 };
@@ -79,7 +79,7 @@
         puts: [{ key, value: { a: 1 } }],
         deletes: [],
     });
-    state.result = await during(state.clock, call);
+    state.result = await awaitWithClock(state.clock, call);
 });
 
 When("a row {string} is put on condition of its version", async function(this: ScenarioWorld, key: string) {
@@ -174,13 +174,13 @@
     }
 });
 
-const listed = async (world: ScenarioWorld, vmId: string): Promise<boolean> =>
+const isListed = async (world: ScenarioWorld, vmId: string): Promise<boolean> =>
     (await part(world).vmList.list()).vms.some(vm => vm.vmId === vmId);
 
 Then("the list shows {string}", async function(this: ScenarioWorld, vmId: string) {
-    assert.equal(await listed(this, vmId), true);
+    assert.equal(await isListed(this, vmId), true);
 });
 
 Then(/^the list does not show "([^"]*)" (?:yet|any more)$/, async function(this: ScenarioWorld, vmId: string) {
-    assert.equal(await listed(this, vmId), false);
+    assert.equal(await isListed(this, vmId), false);
 });
--- a/features/steps/settingsSteps.ts
+++ b/features/steps/settingsSteps.ts
@@ -4,33 +4,35 @@
 import { parseSettings } from "puffinarchd";
 import { partOf, type ScenarioWorld } from "./support.js";
 
-const good: readonly string[] = [
+/** The lines of a valid settings file. */
+const validLines: readonly string[] = [
     "vmId: entry-1",
     "dataCentre: leon-feria",
     "listen: { host: 127.0.0.1, port: 0 }",
     "platformAddress: http://127.0.0.1:7000",
 ];
 
-const withLine = (index: number, line: string): string =>
-    [...good.slice(0, index), line, ...good.slice(index + 1)].join("\n");
-const withMore = (...lines: readonly string[]): string => [...good, ...lines].join("\n");
+const replaceLine = (index: number, line: string): string =>
+    [...validLines.slice(0, index), line, ...validLines.slice(index + 1)].join("\n");
+const appendLines = (...lines: readonly string[]): string => [...validLines, ...lines].join("\n");
 
-const cases: Readonly<Record<string, string>> = {
-    "no vmId": good.slice(1).join("\n"),
-    'a vmId of "a b"': withLine(0, "vmId: a b"),
-    "a port of 70000": withLine(2, "listen: { host: 127.0.0.1, port: 70000 }"),
-    "a host name instead of an IP": withLine(2, "listen: { host: localhost, port: 0 }"),
-    'a platform address of "x"': withLine(3, "platformAddress: x"),
-    'an unknown field "colour"': withMore("colour: red"),
-    'a log level of "loud"': withMore("logLevel: loud"),
-    "a lease of -1 ms": withMore("timings: { leaseMs: -1 }"),
-    "a lease shorter than polls": withMore("timings: { leaseMs: 100 }"),
-    "a grace below the validity": withMore("timings: { deathGraceMs: 1000 }"),
+/** Invalid settings files, by their names in the features. */
+const settingsTexts: Readonly<Record<string, string>> = {
+    "no vmId": validLines.slice(1).join("\n"),
+    'a vmId of "a b"': replaceLine(0, "vmId: a b"),
+    "a port of 70000": replaceLine(2, "listen: { host: 127.0.0.1, port: 70000 }"),
+    "a host name instead of an IP": replaceLine(2, "listen: { host: localhost, port: 0 }"),
+    'a platform address of "x"': replaceLine(3, "platformAddress: x"),
+    'an unknown field "colour"': appendLines("colour: red"),
+    'a log level of "loud"': appendLines("logLevel: loud"),
+    "a lease of -1 ms": appendLines("timings: { leaseMs: -1 }"),
+    "a lease shorter than polls": appendLines("timings: { leaseMs: 100 }"),
+    "a grace below the validity": appendLines("timings: { deathGraceMs: 1000 }"),
     "text that is not YAML": "vmId: [",
 };
 
 When(/^a daemon is given settings with (.+)$/, function(this: ScenarioWorld, name: string) {
-    const text = cases[name] ?? assert.fail(`no settings are named ${name}`);
+    const text = settingsTexts[name] ?? assert.fail(`unknown settings "${name}"`);
     let violations: readonly Violation[] = [];
     try {
         parseSettings(text);
