--- a/features/examples.feature
+++ b/features/examples.feature
@@ -49,9 +49,9 @@
             | attemptOwners        | no owner is known                       |
             | roomMaker            | 1 less urgent tasks of w1 are stopped for it |
             | nodeSettings         | leases of 20000 ms                      |
-            | adviceDesk           | first, urgent, batch                    |
-            | adviceBreadth        | 60, then 80, or 40                      |
-            | askAhead             | not yet, then now                       |
+            | adviceDispatcher     | first, urgent, batch                    |
+            | adviceCallSize       | 60, then 80, or 40                      |
+            | adviceAhead          | not yet, then now                       |
             | capView              | 1 beside 2 that wait for room           |
             | avoidance            | 1 after 1000 ms, 0 after 3000 ms        |
             | eligible             | 2 of 3                                  |
@@ -64,7 +64,7 @@
             | batchWriter          | in force at version 1                   |
             | commitLog            | 3 jobs in 1 transaction                 |
             | evacuate             | 0 moves while the other is away; not ready |
-            | commitWitness        | commits, then quiet                     |
+            | commitMonitor        | commits, then quiet                     |
             | configurationFetch   | asked 1 time for 3 offers               |
             | handOver             | claimed by a peer                       |
             | ownerProgress        | nothingStarted for 3000 ms, news of 500 ms ago |
@@ -78,16 +78,16 @@
             | firstLooks           | 24 sent, then 25                        |
             | forward              | notAccepted after 750 ms                |
             | workerList           | i-1, then nobody                        |
-            | jobBook              | completed                               |
+            | jobModel             | completed                               |
             | jobRows              | 5c0e7a21d94b36f8.0.0.0 ran on i-1       |
             | pacer                | paced to 0 percent                      |
-            | placing              | 5c0e7a21d94b36f8.0.0.0 on i-1           |
+            | taskPlacer           | 5c0e7a21d94b36f8.0.0.0 on i-1           |
             | preempt              | 1 run stops                             |
-            | roomView             | 8000 for it, 0 for others               |
-            | planRoom             | i-2 in 0 ms, i-1 in 700 ms              |
+            | capacityView         | 8000 for it, 0 for others               |
+            | planReservations     | i-2 in 0 ms, i-1 in 700 ms              |
             | urgency              | 2 onTime, 1 late                        |
             | blockedSteps         | after 2100, 3100 ms                     |
-            | askAdvice            | may run on i-1                          |
+            | adviceRequester      | may run on i-1                          |
             | shardOwner           | 5c0e7a21d94b36f8 is queued              |
             | shardWorkers         | 1 worker, then 0, as its incarnation was over  |
             | shardSettings        | leases of 5000 ms                       |
@@ -106,7 +106,7 @@
             | runOrders            | 1 order without an answer, 1 look under token 8 |
             | nextIncarnation      | 1 of 2 runs may be there, settled by its next look; 2 may have crashed the incarnation before |
             | trials               | 1 task, by itself                       |
-            | shortOffices         | 4 times, then 1                         |
+            | shortTenures         | 4 times, then 1                         |
             | tableWatch           | configuration seen                      |
             | taskReview           | 1 step put back, then 0                 |
             | taskWait             | ticket, then room                       |
--- a/features/steps/examples/shardJobs.ts
+++ b/features/steps/examples/shardJobs.ts
@@ -20,7 +20,7 @@
 } from "puffinarch";
 import { exampleJob, log, meter, openWorker, submission, taskOf } from "./shardFixtures.js";
 
-const jobBook = (): string => {
+const jobModel = (): string => {
     const job = exampleJob();
     applyRunEnd(taskOf(job), 1, "done", "", 1_000);
     applyRunEnd(taskOf(job, 1), 1, "done", "", 2_000);
@@ -115,7 +115,10 @@
         meter,
         jobs: new Map([[submission.jobId, job]]),
         workers: new Map([["i-1", openWorker()]]),
-        placing: { isQueued: () => considered.length > 0, updateJob: each => considered.push(each.submission.jobId) },
+        taskPlacer: {
+            isQueued: () => considered.length > 0,
+            updateJob: each => considered.push(each.submission.jobId),
+        },
     });
     return `${review.run()} step put back, then ${review.run()}`;
 };
@@ -126,7 +129,7 @@
     accounts,
     callerKeys,
     forward,
-    jobBook,
+    jobModel,
     taskReview,
     taskWait,
     taskName: () => formatTaskName({ jobId: "5c0e7a21d94b36f8", occurrence: 0, step: 1, index: 17 }),
--- a/features/steps/examples/shardOwners.ts
+++ b/features/steps/examples/shardOwners.ts
@@ -193,12 +193,12 @@
     return claims.join(", ");
 };
 
-const commitWitness = async (): Promise<string> => {
+const commitMonitor = async (): Promise<string> => {
     const clock = createFakeClock();
     const store = createFakeRowStore(clock);
-    const witness = createCommitMonitor({ clock, log, store: store.connect("entry-1"), part });
+    const monitor = createCommitMonitor({ clock, log, store: store.connect("entry-1"), part });
     const isQuiet = async (): Promise<boolean> => {
-        const answer = witness.isQuiet();
+        const answer = monitor.isQuiet();
         await clock.advance(1_000);
         return answer;
     };
@@ -266,7 +266,7 @@
     return cell.owner() === undefined || cell.owner() === first ? "nobody took over" : "another daemon owns the shard";
 };
 
-const shortOffices = (): string => {
+const shortTenures = (): string => {
     const previous = { shortOffices: 1 };
     const busy = countShortTenures({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
     const lasting = countShortTenures({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
@@ -277,7 +277,7 @@
 export const shardOwnerExamples: Readonly<Record<string, () => string | Promise<string>>> = {
     cellMember,
     claimShard: claim,
-    commitWitness,
+    commitMonitor,
     configurationFetch,
     handOver: handOverExample,
     ownerProgress,
@@ -287,5 +287,5 @@
     probes,
     shardOwner,
     shardSettings: () => `leases of ${defaultShardSettings.leaseMs} ms`,
-    shortOffices,
+    shortTenures,
 };
--- a/features/steps/examples/shardPlacement.ts
+++ b/features/steps/examples/shardPlacement.ts
@@ -28,10 +28,10 @@
 } from "puffinarch";
 import { exampleJob, log, meter, openWorker, runOf, submission, taskOf } from "./shardFixtures.js";
 
-const adviceDesk = async (): Promise<string> => {
+const adviceDispatcher = async (): Promise<string> => {
     const clock = createFakeClock();
     const order: string[] = [];
-    const desk = createAdviceDispatcher({
+    const dispatcher = createAdviceDispatcher({
         clock,
         log,
         meter,
@@ -42,9 +42,9 @@
         },
     });
     const common = { workerIds: ["i-1"], costMs: 20, onAnswer: () => {}, onFailure: () => {}, isNeeded: () => true };
-    desk.enqueue({ ...common, stepName: "first", priority: 2 });
-    desk.enqueue({ ...common, stepName: "batch", priority: 2 });
-    desk.enqueue({ ...common, stepName: "urgent", priority: 0 });
+    dispatcher.enqueue({ ...common, stepName: "first", priority: 2 });
+    dispatcher.enqueue({ ...common, stepName: "batch", priority: 2 });
+    dispatcher.enqueue({ ...common, stepName: "urgent", priority: 0 });
     await clock.advance(10);
     return order.join(", ");
 };
@@ -84,7 +84,7 @@
     } of ${step.spec.count}`;
 };
 
-const askAhead = (): string => {
+const adviceAhead = (): string => {
     const job = exampleJob();
     const second = taskOf(job, 1).step;
     const early = shouldRequestAhead(second);
@@ -92,15 +92,15 @@
     return `${early ? "now" : "not yet"}, then ${shouldRequestAhead(second) ? "now" : "not yet"}`;
 };
 
-const adviceBreadth = (): string => {
+const adviceCallSize = (): string => {
     const step = taskOf(exampleJob()).step;
-    const breadth = createAdviceCallSizer({ usualAdviceWorkers: 40, maxAdviceWorkers: 100 });
-    const before = breadth.namesFor(step, 30);
-    breadth.recordAnswer(step, ["i-1", "i-2", "i-3", "i-4"], {
+    const sizer = createAdviceCallSizer({ usualAdviceWorkers: 40, maxAdviceWorkers: 100 });
+    const before = sizer.namesFor(step, 30);
+    sizer.recordAnswer(step, ["i-1", "i-2", "i-3", "i-4"], {
         good: [{ workerId: "i-2", ticket: "t" }],
         validMs: 2_000,
     });
-    return `${before}, then ${breadth.namesFor(step, 20)}, or ${breadth.namesFor(step, 1)}`;
+    return `${before}, then ${sizer.namesFor(step, 20)}, or ${sizer.namesFor(step, 1)}`;
 };
 
 const capView = (): string => {
@@ -112,7 +112,7 @@
     return `${caps.allowed(step, [taskOf(first), taskOf(first)]).length} beside 2 that wait for room`;
 };
 
-const roomView = (): string => {
+const capacityView = (): string => {
     const worker = openWorker();
     const urgent = taskOf(exampleJob()).step;
     const other = taskOf(newJob(submission, { ...testQueue, priority: 2 }, { acceptedAtMs: 0, order: 2 })).step;
@@ -164,7 +164,7 @@
     return ranked.map(({ step, standing }) => `${step.occurrence.job.order} ${standing}`).join(", ");
 };
 
-const askAdvice = async (): Promise<string> => {
+const adviceRequester = async (): Promise<string> => {
     const clock = createFakeClock();
     const { step } = taskOf(exampleJob());
     const call = async () => ({ good: [{ workerId: "i-1", ticket: "t" }], validMs: 2_500 });
@@ -192,12 +192,12 @@
     return `${victims?.length} run stops`;
 };
 
-const placing = (): string => {
+const taskPlacer = (): string => {
     const clock = createFakeClock();
     const planned: string[] = [];
     const job = exampleJob();
     taskOf(job).step.advice.good.set("i-1", { ticket: "t", validUntilMs: 9_000 });
-    const desk = createAdviceDispatcher({
+    const dispatcher = createAdviceDispatcher({
         clock,
         log,
         meter,
@@ -210,7 +210,7 @@
         meter,
         settings: defaultShardSettings,
         workers: new Map([["i-1", openWorker()]]),
-        dispatcher: desk,
+        dispatcher,
         onPlanned: (_job, runs) => planned.push(...runs.map(run => `${run.task.name} on ${run.workerId}`)),
         onPreempt: () => {},
         wake: () => {},
@@ -233,19 +233,19 @@
 
 /** Examples of the modules about placement, by the module's name. */
 export const shardPlacementExamples: Readonly<Record<string, () => string | Promise<string>>> = {
-    adviceDesk,
-    adviceBreadth,
-    askAhead,
+    adviceDispatcher,
+    adviceCallSize,
+    adviceAhead,
     capView,
     avoidance,
     eligible,
     chooseWorker: chooser,
-    placing,
+    taskPlacer,
     preempt,
-    roomView,
+    capacityView,
     blockedSteps,
-    planRoom: plan,
+    planReservations: plan,
     urgency,
-    askAdvice,
+    adviceRequester,
     trials,
 };
--- a/packages/puffinarch/src/core/shard/acceptance.ts
+++ b/packages/puffinarch/src/core/shard/acceptance.ts
@@ -10,7 +10,7 @@
 import { sleep } from "../../utils/time.js";
 import { type Account, type Accounts, amountAboveCap, returnShare, takeShare } from "./accounts.js";
 import type { CommitLog } from "./commitLog.js";
-import { cancelJob, newJob, reservedResources, type ShardJob } from "./jobBook.js";
+import { cancelJob, newJob, reservedResources, type ShardJob } from "./jobModel.js";
 import type { EndedJob } from "./jobRows.js";
 import type { ShardSettings } from "./shardSettings.js";
 
--- a/packages/puffinarch/src/core/shard/askAhead.ts
+++ b/packages/puffinarch/src/core/shard/adviceAhead.ts
@@ -1,6 +1,6 @@
 /** Decides when to request advice for a step that is not ready yet, so that it has tickets once it is. */
 
-import type { ShardStep } from "./jobBook.js";
+import type { ShardStep } from "./jobModel.js";
 
 /** Calls with a fixed cost below this are made as soon as all tasks of the preceding steps have started. */
 const quickCostMs = 150;
--- a/packages/puffinarch/src/core/shard/adviceBreadth.ts
+++ b/packages/puffinarch/src/core/shard/adviceCallSize.ts
@@ -4,7 +4,7 @@
  */
 
 import type { AdviceAnswer } from "../../types/cellPorts.js";
-import type { ShardStep } from "./jobBook.js";
+import type { ShardStep } from "./jobModel.js";
 import type { ShardSettings } from "./shardSettings.js";
 
 /** Chooses the number of names from the share of named workers that the advisor has approved for a queue's steps so far. */
--- a/packages/puffinarch/src/core/shard/askAdvice.ts
+++ b/packages/puffinarch/src/core/shard/adviceRequester.ts
@@ -3,13 +3,13 @@
 import type { AdviceAnswer } from "../../types/cellPorts.js";
 import type { Clock, Log, Meter } from "../../types/ports.js";
 import { fits } from "../../types/resources.js";
-import { createAdviceCallSizer } from "./adviceBreadth.js";
-import type { AdviceDispatcher } from "./adviceDesk.js";
+import { createAdviceCallSizer } from "./adviceCallSize.js";
+import type { AdviceDispatcher } from "./adviceDispatcher.js";
 import { avoidedByAll, failedRecently } from "./avoidance.js";
 import { mayUseRestingWorkers } from "./blockedSteps.js";
+import type { CapacityView, Reservation } from "./capacityView.js";
 import { allowsAnotherRun, countRuns, isEligible, ticketFor } from "./eligible.js";
-import { hasEnded, isWaiting, reservedResources, type ShardStep, stepNameOf } from "./jobBook.js";
-import type { CapacityView, Reservation } from "./roomView.js";
+import { hasEnded, isWaiting, reservedResources, type ShardStep, stepNameOf } from "./jobModel.js";
 import type { ShardSettings } from "./shardSettings.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
--- a/packages/puffinarch/src/core/shard/avoidance.ts
+++ b/packages/puffinarch/src/core/shard/avoidance.ts
@@ -12,7 +12,7 @@
     mightBecomeEligible,
     minTasksToStart,
 } from "./eligible.js";
-import { estimatedEndMs, isOnLastAttempt, isWaiting, type ShardStep, type ShardTask } from "./jobBook.js";
+import { estimatedEndMs, isOnLastAttempt, isWaiting, type ShardStep, type ShardTask } from "./jobModel.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
 /** A worker that failed a task within this time is chosen for it only where no other one has capacity. */
--- a/packages/puffinarch/src/core/shard/blockedSteps.ts
+++ b/packages/puffinarch/src/core/shard/blockedSteps.ts
@@ -5,7 +5,7 @@
  */
 
 import { countRuns, countTasksThatFit, isEligible, minTasksToStart } from "./eligible.js";
-import type { ShardStep, ShardTask } from "./jobBook.js";
+import type { ShardStep, ShardTask } from "./jobModel.js";
 import { isBlockedByTrial } from "./trials.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
--- a/packages/puffinarch/src/core/shard/capView.ts
+++ b/packages/puffinarch/src/core/shard/capView.ts
@@ -3,7 +3,7 @@
 import { add, noResources, type Resources, scale } from "../../types/resources.js";
 import { type Account, tasksUnderCap, usesHalfOfCap } from "./accounts.js";
 import { maxBlockedMs } from "./blockedSteps.js";
-import { reservedResources, type ShardStep, type ShardTask } from "./jobBook.js";
+import { reservedResources, type ShardStep, type ShardTask } from "./jobModel.js";
 
 /** Gangs for which part of a cap is reserved although less than half of it is used, and the local time since which this is so. */
 export type CapWaits = WeakMap<ShardStep, number>;
--- a/packages/puffinarch/src/core/shard/roomView.ts
+++ b/packages/puffinarch/src/core/shard/capacityView.ts
@@ -2,7 +2,7 @@
 
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
 import { isBlockedLong, maxBlockedMs } from "./blockedSteps.js";
-import type { ShardRun, ShardStep } from "./jobBook.js";
+import type { ShardRun, ShardStep } from "./jobModel.js";
 import { roomOf, type ShardWorker } from "./workerTable.js";
 
 /** Capacity on one worker that is reserved for one task of a step. */
--- a/packages/puffinarch/src/core/shard/cellMember.ts
+++ b/packages/puffinarch/src/core/shard/cellMember.ts
@@ -31,7 +31,7 @@
 import { sleep } from "../../utils/time.js";
 import { type CallerKeys, createCallerKeys } from "./callerKeys.js";
 import { claimShard } from "./claimShard.js";
-import { createCommitMonitor } from "./commitWitness.js";
+import { createCommitMonitor } from "./commitMonitor.js";
 import { createConfigurationFetch } from "./configurationFetch.js";
 import { createForwarder } from "./forward.js";
 import { handOver } from "./handOver.js";
@@ -43,7 +43,7 @@
 import { type ShardOwner, startShardOwner } from "./shardOwner.js";
 import type { ShardSettings } from "./shardSettings.js";
 import { ownerKey, ownerTable } from "./shardTables.js";
-import { type ClaimReason, claimReasons, countShortTenures, settlingMs } from "./shortOffices.js";
+import { type ClaimReason, claimReasons, countShortTenures, settlingMs } from "./shortTenures.js";
 import { shortFeedWaitMs, type TableWatch, watchTable } from "./tableWatch.js";
 import { watchWorkerList } from "./workerList.js";
 
--- a/packages/puffinarch/src/core/shard/chooseWorker.ts
+++ b/packages/puffinarch/src/core/shard/chooseWorker.ts
@@ -4,9 +4,9 @@
 import type { Step } from "../../types/work.js";
 import { avoidedBy, failedRecently } from "./avoidance.js";
 import { mayUseRestingWorkers } from "./blockedSteps.js";
+import type { CapacityView } from "./capacityView.js";
 import { allowsAnotherRun, countRuns, isEligible, ticketFor } from "./eligible.js";
-import { reservedResources, type ShardStep, type ShardTask } from "./jobBook.js";
-import type { CapacityView } from "./roomView.js";
+import { reservedResources, type ShardStep, type ShardTask } from "./jobModel.js";
 import { allowsTrial, crashExposureOf, isBlockedByTrial, isSuspect } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
--- a/packages/puffinarch/src/core/shard/correlatedCrashes.ts
+++ b/packages/puffinarch/src/core/shard/correlatedCrashes.ts
@@ -5,7 +5,7 @@
 
 import type { CrashedRun } from "./crashes.js";
 import { incarnationKey, type WorkerIncarnation } from "./incarnations.js";
-import type { ShardJob } from "./jobBook.js";
+import type { ShardJob } from "./jobModel.js";
 
 /** Records which workers fell silent, when, and under which jobs. */
 export interface CorrelatedCrashes {
--- a/packages/puffinarch/src/core/shard/crashes.ts
+++ b/packages/puffinarch/src/core/shard/crashes.ts
@@ -5,7 +5,7 @@
  */
 
 import { failureCauses } from "../../types/work.js";
-import { failJob, jobOf, runPhases, type ShardJob, type ShardRun, type ShardTask } from "./jobBook.js";
+import { failJob, jobOf, runPhases, type ShardJob, type ShardRun, type ShardTask } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** A run that may have crashed its worker, since the worker crashed so soon after the run's start. */
--- a/packages/puffinarch/src/core/shard/eligible.ts
+++ b/packages/puffinarch/src/core/shard/eligible.ts
@@ -3,7 +3,7 @@
 import { fits, type Resources, subtract } from "../../types/resources.js";
 import type { Step } from "../../types/work.js";
 import { tasksUnderCap } from "./accounts.js";
-import { reservedResources, type ShardStep } from "./jobBook.js";
+import { reservedResources, type ShardStep } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** A ticket that is valid for less than this might have expired when the worker receives it. */
--- a/packages/puffinarch/src/core/shard/evacuate.ts
+++ b/packages/puffinarch/src/core/shard/evacuate.ts
@@ -1,6 +1,6 @@
 /** Chooses which runs to stop, with a checkpoint, on a worker that is about to be taken down. */
 
-import { runPhases, type ShardRun, type ShardStep, type ShardTask } from "./jobBook.js";
+import { runPhases, type ShardRun, type ShardStep, type ShardTask } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** Time after its start within which a long-running task may not serve yet; a start takes up to 1 s. */
--- a/packages/puffinarch/src/core/shard/jobRows.ts
+++ b/packages/puffinarch/src/core/shard/jobRows.ts
@@ -20,7 +20,7 @@
     type ShardStep,
     type ShardTask,
     stepsOf,
-} from "./jobBook.js";
+} from "./jobModel.js";
 import {
     endedSchema,
     stateSchema,
--- a/packages/puffinarch/src/core/shard/lostRuns.ts
+++ b/packages/puffinarch/src/core/shard/lostRuns.ts
@@ -6,7 +6,7 @@
 
 import type { CrashedRun } from "./crashes.js";
 import { isOtherIncarnation, type WorkerIncarnation } from "./incarnations.js";
-import type { ShardJob } from "./jobBook.js";
+import type { ShardJob } from "./jobModel.js";
 
 /** A worker's id, and the address at which it was reached. */
 export interface LostWorker {
--- a/packages/puffinarch/src/core/shard/missingRuns.ts
+++ b/packages/puffinarch/src/core/shard/missingRuns.ts
@@ -7,7 +7,7 @@
 import { markBlockedLong } from "./blockedSteps.js";
 import type { CrashedRun } from "./crashes.js";
 import { incarnationOf } from "./incarnations.js";
-import { jobOf, type ShardJob, type ShardRun } from "./jobBook.js";
+import { jobOf, type ShardJob, type ShardRun } from "./jobModel.js";
 import { mayArrive } from "./unansweredStart.js";
 import { dropRun, setAbsent, type ShardWorker } from "./workerTable.js";
 
--- a/packages/puffinarch/src/core/shard/nextIncarnation.ts
+++ b/packages/puffinarch/src/core/shard/nextIncarnation.ts
@@ -7,7 +7,7 @@
 import { type CrashedRun, crashedRuns, needsTrial } from "./crashes.js";
 import type { DelayedStarts } from "./delayedStarts.js";
 import { isOtherIncarnation } from "./incarnations.js";
-import { runPhases, type ShardRun } from "./jobBook.js";
+import { runPhases, type ShardRun } from "./jobModel.js";
 import { adoptRun, newWorker, releaseRun, runKey, type ShardWorker } from "./workerTable.js";
 
 /** What an ended incarnation leaves behind. */
--- a/packages/puffinarch/src/core/shard/ownerWatch.ts
+++ b/packages/puffinarch/src/core/shard/ownerWatch.ts
@@ -7,10 +7,10 @@
 import type { Clock, Log } from "../../types/ports.js";
 import { type ErrorKind, failureOf } from "../../utils/errors.js";
 import { sleep } from "../../utils/time.js";
-import type { CommitMonitor } from "./commitWitness.js";
+import type { CommitMonitor } from "./commitMonitor.js";
 import { type Peers, pingIntervalMs, pingTimeoutMs } from "./peers.js";
 import { delayForRankMs, followerPauseMs, watcherCount } from "./probes.js";
-import { type ClaimReason, claimReasons, settlingMs, timeoutFactor } from "./shortOffices.js";
+import { type ClaimReason, claimReasons, settlingMs, timeoutFactor } from "./shortTenures.js";
 
 /** Dependencies and callbacks of an owner watch. */
 export interface OwnerWatchOptions {
--- a/packages/puffinarch/src/core/shard/pacer.ts
+++ b/packages/puffinarch/src/core/shard/pacer.ts
@@ -1,7 +1,7 @@
 /** Throttles best-effort tasks (`fills`), so that tasks with a latency objective on the same worker meet it. */
 
 import type { Clock, Log } from "../../types/ports.js";
-import { runPhases, type ShardRun } from "./jobBook.js";
+import { runPhases, type ShardRun } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /**
--- a/packages/puffinarch/src/core/shard/planRoom.ts
+++ b/packages/puffinarch/src/core/shard/planReservations.ts
@@ -6,6 +6,7 @@
 
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
 import { avoidedByAll } from "./avoidance.js";
+import type { CapacityView, Reservation } from "./capacityView.js";
 import { allowsAnotherRun, countRuns, isEligible } from "./eligible.js";
 import {
     estimatedEndMs,
@@ -14,9 +15,8 @@
     runPhases,
     type ShardRun,
     type ShardStep,
-} from "./jobBook.js";
+} from "./jobModel.js";
 import { chooseVictims, isPreemptibleBy } from "./preempt.js";
-import type { CapacityView, Reservation } from "./roomView.js";
 import { isBlockedByTrial } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
--- a/packages/puffinarch/src/core/shard/preempt.ts
+++ b/packages/puffinarch/src/core/shard/preempt.ts
@@ -1,8 +1,8 @@
 /** Selects the less urgent runs of a worker to be stopped, with their checkpoint, to free capacity for a more urgent task. */
 
 import { add, fits, type Resources } from "../../types/resources.js";
-import { runPhases, type ShardRun } from "./jobBook.js";
-import { isPreemptible } from "./roomView.js";
+import { isPreemptible } from "./capacityView.js";
+import { runPhases, type ShardRun } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /**
--- a/packages/puffinarch/src/core/shard/runOrders.ts
+++ b/packages/puffinarch/src/core/shard/runOrders.ts
@@ -7,7 +7,7 @@
 import { sleep } from "../../utils/time.js";
 import type { DelayedStart } from "./delayedStarts.js";
 import { incarnationOf } from "./incarnations.js";
-import { runPhases, type ShardRun } from "./jobBook.js";
+import { runPhases, type ShardRun } from "./jobModel.js";
 import { noteStartAnswered, noteStartUnanswered } from "./startBreaker.js";
 import { holdsForOneIncarnation } from "./unansweredStart.js";
 import type { WorkerLinkOptions } from "./workerLink.js";
--- a/packages/puffinarch/src/core/shard/shardOwner.ts
+++ b/packages/puffinarch/src/core/shard/shardOwner.ts
@@ -26,7 +26,7 @@
 import { sleep } from "../../utils/time.js";
 import { createAcceptance } from "./acceptance.js";
 import { createAccounts } from "./accounts.js";
-import { createAdviceDispatcher } from "./adviceDesk.js";
+import { createAdviceDispatcher } from "./adviceDispatcher.js";
 import type { ClaimedShard } from "./claimShard.js";
 import { createCommitLog, type RowChange } from "./commitLog.js";
 import {
@@ -39,15 +39,15 @@
     runsOf,
     type ShardJob,
     type ShardRun,
-} from "./jobBook.js";
+} from "./jobModel.js";
 import { decodeEnded, encodeJob, type EndedJob, restoreJobs } from "./jobRows.js";
 import { createOwnerProgress } from "./ownerProgress.js";
-import { createTaskPlacer } from "./placing.js";
 import { readAllRows } from "./readRows.js";
 import { createRowReader } from "./rowReader.js";
 import type { ShardSettings } from "./shardSettings.js";
 import { endedTable } from "./shardTables.js";
 import { createShardWorkers } from "./shardWorkers.js";
+import { createTaskPlacer } from "./taskPlacer.js";
 import { createTaskReview } from "./taskReview.js";
 import { startUpkeep, type Upkeep } from "./upkeep.js";
 import { createWaveRows } from "./waveRows.js";
@@ -297,11 +297,11 @@
     /** Applies the consequences of a change of a job, and commits it. */
     const commitChange = (job: ShardJob): Promise<void> => {
         if (hasEnded(job)) {
-            placing.removeJob(job);
+            taskPlacer.removeJob(job);
         }
         else {
             job.state = job.started ? jobStates.running : jobStates.queued;
-            placing.updateJob(job);
+            taskPlacer.updateJob(job);
         }
         wake();
         return commit(job).then(() => {
@@ -365,7 +365,7 @@
         });
     };
 
-    const placing = createTaskPlacer({
+    const taskPlacer = createTaskPlacer({
         clock,
         log,
         meter,
@@ -377,7 +377,7 @@
         wake: () => wake(),
     });
 
-    const review = createTaskReview({ clock, log, meter, jobs, workers: workers.all, placing });
+    const review = createTaskReview({ clock, log, meter, jobs, workers: workers.all, taskPlacer });
 
     const wake = (): void => {
         if (passScheduled || closed) {
@@ -388,7 +388,7 @@
             passScheduled = false;
             if (!closed) {
                 const beganAtMs = clock.monotonicMs();
-                placing.runPass();
+                taskPlacer.runPass();
                 passMs = clock.monotonicMs() - beganAtMs;
             }
         });
@@ -407,7 +407,7 @@
                 }
                 if (!job.occurrences.has(number) && !job.doneOccurrences.has(number)) {
                     openOccurrence(job, number);
-                    placing.updateJob(job);
+                    taskPlacer.updateJob(job);
                     wake();
                 }
             }
@@ -476,10 +476,10 @@
         }
         if (ticks % reviewIntervalTicks === 0) {
             review.run();
-            progress.review(placing.waitingSteps());
+            progress.review(taskPlacer.waitingSteps());
             reviewAccounts();
         }
-        if (placing.activeSteps() > 0) {
+        if (taskPlacer.activeSteps() > 0) {
             wake();
         }
         adviceDesk.wake();
@@ -510,7 +510,7 @@
         workers.restoreRuns(restored.runs);
         workers.restoreLosses(restored.losses);
         for (const job of jobs.values()) {
-            placing.updateJob(job);
+            taskPlacer.updateJob(job);
         }
         log.write("info", "shardRestored", { part, fencingToken, jobs: jobs.size, runs: restored.runs.length });
     };
@@ -583,11 +583,11 @@
         commits,
         commit,
         consider: job => {
-            placing.updateJob(job);
+            taskPlacer.updateJob(job);
             wake();
         },
         dropPlannedStarts: job => {
-            placing.removeJob(job);
+            taskPlacer.removeJob(job);
             for (const run of [...runsOf(job)]) {
                 workers.stop(run);
             }
--- a/packages/puffinarch/src/core/shard/shardWorkers.ts
+++ b/packages/puffinarch/src/core/shard/shardWorkers.ts
@@ -9,7 +9,7 @@
 import { createDelayedStarts, type DelayedStart } from "./delayedStarts.js";
 import { createFirstLooks } from "./firstLooks.js";
 import { incarnationOf, isOtherIncarnation } from "./incarnations.js";
-import { findTask, newRun, runPhases, type ShardJob, type ShardRun } from "./jobBook.js";
+import { findTask, newRun, runPhases, type ShardJob, type ShardRun } from "./jobModel.js";
 import type { RestoredLoss, StoredRun } from "./jobRows.js";
 import { createLookSlots } from "./lookSlots.js";
 import { createLostRuns } from "./lostRuns.js";
--- a/packages/puffinarch/src/core/shard/startBreaker.ts
+++ b/packages/puffinarch/src/core/shard/startBreaker.ts
@@ -3,7 +3,7 @@
  * late. Each such start makes its task wait for the answer, and may reach a worker that has restarted in the meantime.
  */
 
-import { runPhases } from "./jobBook.js";
+import { runPhases } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** Shortest time for which the breaker opens; it is enough for a lost connection, since the next start opens another one. */
--- a/packages/puffinarch/src/core/shard/placing.ts
+++ b/packages/puffinarch/src/core/shard/taskPlacer.ts
@@ -1,8 +1,9 @@
 /** Scheduling passes over all steps with waiting tasks: the most urgent step first, each task to a worker with free capacity. */
 
-import { type AdviceRequesterOptions, createAdviceRequester } from "./askAdvice.js";
-import { shouldRequestAhead } from "./askAhead.js";
+import { shouldRequestAhead } from "./adviceAhead.js";
+import { type AdviceRequesterOptions, createAdviceRequester } from "./adviceRequester.js";
 import { isBlocked, recordBlocked } from "./blockedSteps.js";
+import { type CapacityView, createCapacityView, type Reservation } from "./capacityView.js";
 import { type CapView, type CapWaits, createCapView } from "./capView.js";
 import { type Chooser, createChooser, openWorkersFor } from "./chooseWorker.js";
 import { awaitsCrashConfirmation, needsTrial } from "./crashes.js";
@@ -17,9 +18,8 @@
     type ShardStep,
     type ShardTask,
     stepNameOf,
-} from "./jobBook.js";
-import { planReservations } from "./planRoom.js";
-import { type CapacityView, createCapacityView, type Reservation } from "./roomView.js";
+} from "./jobModel.js";
+import { planReservations } from "./planReservations.js";
 import { fellSilentAtStart, holdForTrial, startableTasks } from "./trials.js";
 import { inSchedulingOrder, type RankedStep, standings } from "./urgency.js";
 import { dropRun, holdRoom, type ShardWorker } from "./workerTable.js";
--- a/packages/puffinarch/src/core/shard/taskReview.ts
+++ b/packages/puffinarch/src/core/shard/taskReview.ts
@@ -13,8 +13,8 @@
     type ShardTask,
     stepNameOf,
     stepsOf,
-} from "./jobBook.js";
-import type { TaskPlacer } from "./placing.js";
+} from "./jobModel.js";
+import type { TaskPlacer } from "./taskPlacer.js";
 import {
     type AvailabilityCounts,
     awaitsStart,
@@ -34,12 +34,12 @@
     readonly meter: Meter;
     readonly jobs: ReadonlyMap<string, ShardJob>;
     readonly workers: ReadonlyMap<string, ShardWorker>;
-    readonly placing: Pick<TaskPlacer, "updateJob" | "isQueued">;
+    readonly taskPlacer: Pick<TaskPlacer, "updateJob" | "isQueued">;
 }
 
 /** Reviews the tasks of a shard. */
 export interface TaskReview {
-    /** Reviews every accepted task and hands steps that the placing has lost to it again; returns their number. */
+    /** Reviews every accepted task and hands steps that the task placer has lost back to it; returns their number. */
     run(): number;
     /** The same, and logs how many tasks wait; for a new owner that has just learnt what its workers run. */
     runAndReport(): void;
@@ -81,19 +81,19 @@
  * Creates the review of a shard's tasks.
  *
  * @example
- * const review = createTaskReview({ clock, log, meter, jobs, workers, placing });
+ * const review = createTaskReview({ clock, log, meter, jobs, workers, taskPlacer });
  * review.run();
  */
 export const createTaskReview = (options: TaskReviewOptions): TaskReview => {
-    const { clock, log, meter, jobs, workers, placing } = options;
+    const { clock, log, meter, jobs, workers, taskPlacer } = options;
     let waitingTasks = new Map<ShardTask, Waiting>();
 
     /**
-     * Hands a ready step to the placing again if tasks of it wait and the placing does not hold it; returns 1 for such a
+     * Hands a ready step to the task placer again if tasks of it wait and its queue lacks it; returns 1 for such a
      * step, 0 otherwise.
      */
     const recover = (step: ShardStep, found: number): number => {
-        if (placing.isQueued(step) || !step.tasks.some(isWaiting)) {
+        if (taskPlacer.isQueued(step) || !step.tasks.some(isWaiting)) {
             return 0;
         }
         if (found < maxForgottenLines) {
@@ -103,7 +103,7 @@
             });
         }
         meter.count("stepsForgotten");
-        placing.updateJob(step.occurrence.job);
+        taskPlacer.updateJob(step.occurrence.job);
         return 1;
     };
 
--- a/packages/puffinarch/src/core/shard/taskWait.ts
+++ b/packages/puffinarch/src/core/shard/taskWait.ts
@@ -20,7 +20,7 @@
     runPhases,
     type ShardStep,
     type ShardTask,
-} from "./jobBook.js";
+} from "./jobModel.js";
 import { isBlockedByTrial, startableTasks } from "./trials.js";
 import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
 
--- a/packages/puffinarch/src/core/shard/trials.ts
+++ b/packages/puffinarch/src/core/shard/trials.ts
@@ -5,7 +5,7 @@
  */
 
 import { atWorkMs, awaitsCrashConfirmation, isNearCrashLimit, needsTrial } from "./crashes.js";
-import { jobOf, runPhases, type ShardJob, type ShardRun, type ShardStep, type ShardTask } from "./jobBook.js";
+import { jobOf, runPhases, type ShardJob, type ShardRun, type ShardStep, type ShardTask } from "./jobModel.js";
 import { runKey, type ShardWorker } from "./workerTable.js";
 
 /**
--- a/packages/puffinarch/src/core/shard/unansweredStart.ts
+++ b/packages/puffinarch/src/core/shard/unansweredStart.ts
@@ -4,7 +4,7 @@
  * The task therefore waits, and capacity for it is kept on the worker, until the order can no longer arrive.
  */
 
-import { jobOf, type ShardRun } from "./jobBook.js";
+import { jobOf, type ShardRun } from "./jobModel.js";
 import type { ShardSettings } from "./shardSettings.js";
 
 /**
--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -19,7 +19,7 @@
 import { sleep } from "../../utils/time.js";
 import { mayGoDown, runsToMove } from "./evacuate.js";
 import { isOtherIncarnation } from "./incarnations.js";
-import type { ShardRun } from "./jobBook.js";
+import type { ShardRun } from "./jobModel.js";
 import type { WaveRecord, WaveRows } from "./waveRows.js";
 import type { ShardWorker } from "./workerTable.js";
 
--- a/packages/puffinarch/src/core/shard/urgency.ts
+++ b/packages/puffinarch/src/core/shard/urgency.ts
@@ -4,7 +4,7 @@
 import type { Resources } from "../../types/resources.js";
 import { newAccount, tasksUnderCap } from "./accounts.js";
 import { isEligible } from "./eligible.js";
-import { reservedResources, type ShardOccurrence, type ShardStep } from "./jobBook.js";
+import { reservedResources, type ShardOccurrence, type ShardStep } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** Whether the job of a step can still end in time to be of value to its caller. */
--- a/packages/puffinarch/src/core/shard/workerLink.ts
+++ b/packages/puffinarch/src/core/shard/workerLink.ts
@@ -8,7 +8,7 @@
 import type { DelayedStart, DelayedStarts } from "./delayedStarts.js";
 import type { FirstLooks } from "./firstLooks.js";
 import { incarnationOf, isOtherIncarnation } from "./incarnations.js";
-import { runPhases, type ShardRun } from "./jobBook.js";
+import { runPhases, type ShardRun } from "./jobModel.js";
 import type { LookSlots } from "./lookSlots.js";
 import { createRunOrders } from "./runOrders.js";
 import { extendLease, type ShardWorker } from "./workerTable.js";
--- a/packages/puffinarch/src/core/shard/workerTable.ts
+++ b/packages/puffinarch/src/core/shard/workerTable.ts
@@ -5,7 +5,7 @@
 import { charge, isOverCap, release } from "./accounts.js";
 import type { CrashedRun } from "./crashes.js";
 import type { DelayedStart } from "./delayedStarts.js";
-import { jobOf, runPhases, type ShardJob, type ShardRun } from "./jobBook.js";
+import { jobOf, runPhases, type ShardJob, type ShardRun } from "./jobModel.js";
 import { allowsStart } from "./startBreaker.js";
 
 /** Lowest rate, relative to this daemon's clock, at which a worker's clock may run. */
--- a/packages/puffinarch/src/core/shard/workerWatch.ts
+++ b/packages/puffinarch/src/core/shard/workerWatch.ts
@@ -15,7 +15,7 @@
     type ShardJob,
     type ShardRun,
     type ShardTask,
-} from "./jobBook.js";
+} from "./jobModel.js";
 import { createMissingRuns, type MissingRunsOptions } from "./missingRuns.js";
 import { noteStartAnswered } from "./startBreaker.js";
 import { adoptRun, dropRun, isLeaving, runKey, setAbsent, type ShardWorker } from "./workerTable.js";
