--- a/features/steps/crashingSteps.ts
+++ b/features/steps/crashingSteps.ts
@@ -19,7 +19,7 @@
     newJob,
     newRun,
     newWorker,
-    noteStartUnanswered,
+    recordStartUnanswered,
     type ShardTask,
 } from "puffinarch";
 import { cellOf } from "./shardCellPart.js";
@@ -348,7 +348,7 @@
         task.crashes = crashes;
         const worker = newWorker(workerEntry("i-1", 1), 0);
         const nowMs = 10_000;
-        noteStartUnanswered(worker, nowMs - agoMs, nowMs - agoMs);
+        recordStartUnanswered(worker, nowMs - agoMs, nowMs - agoMs);
         part(this).isAllowed = allowsTrial(worker, task, nowMs);
     },
 );
--- a/features/steps/examples/shardIncarnations.ts
+++ b/features/steps/examples/shardIncarnations.ts
@@ -20,8 +20,8 @@
     isSettledByLook,
     leaveIncarnation,
     mayArrive,
-    noteStartAnswered,
-    noteStartUnanswered,
+    recordStartAnswered,
+    recordStartUnanswered,
     runPhases,
     withUndecided,
 } from "puffinarch";
@@ -52,7 +52,7 @@
     const clock = createFakeClock();
     const delayed = createDelayedStarts(clock);
     const order = { taskName: "5c0e7a21d94b36f8.0.1.17", run: 2 };
-    delayed.note("i-1", order);
+    delayed.record("i-1", order);
     const before = delayed.of("i-1").length;
     await clock.advance(13_000);
     return `${before} order, then ${delayed.has("i-1", order) ? "still one" : "none"}`;
@@ -94,12 +94,12 @@
 const startBreaker = (): string => {
     const worker = openWorker();
     const run = { ...runOf(exampleJob()), phase: runPhases.planned };
-    noteStartUnanswered(worker, 1_000, 1_150);
-    noteStartUnanswered(worker, 1_001, 1_151);
+    recordStartUnanswered(worker, 1_000, 1_150);
+    recordStartUnanswered(worker, 1_001, 1_151);
     const restMs = worker.avoidUntilMs - 1_150;
     adoptRun(worker, run);
     const halfOpen = allowsStart(worker);
-    noteStartAnswered(worker);
+    recordStartAnswered(worker);
     return `${restMs} ms without starts, then ${halfOpen ? "all" : "one at a time"}, then ${
         allowsStart(worker) ? "all" : "none"
     }`;
@@ -179,8 +179,8 @@
     const all = createCorrelatedCrashes();
     const first = { workerId: "i-1", bornAtMs: 500 };
     const second = { workerId: "i-2", bornAtMs: 500 };
-    all.note(first, 1_000, []);
-    all.note(second, 1_100, []);
+    all.record(first, 1_000, []);
+    all.record(second, 1_100, []);
     all.answered(second);
     all.answered({ ...first, bornAtMs: 1_200 });
     return `${all.countOthersAt(1_050, exampleJob())} worker fell silent`;
--- a/features/steps/examples/shardPlacement.ts
+++ b/features/steps/examples/shardPlacement.ts
@@ -15,6 +15,7 @@
     createChooser,
     createTaskPlacer,
     defaultShardSettings,
+    freeCapacityOf,
     inSchedulingOrder,
     isBlocked,
     mayUseRestingWorkers,
@@ -22,7 +23,6 @@
     newJob,
     noResources,
     planReservations,
-    roomOf,
     shouldRequestAhead,
     startableTasks,
 } from "puffinarch";
@@ -188,7 +188,7 @@
     worker.held = worker.entry.capacity;
     worker.runs.set("batch", runOf(batch));
     const need = plainStep.size;
-    const victims = chooseVictims(worker, { need, room: roomOf(worker), priority: 0 });
+    const victims = chooseVictims(worker, { need, room: freeCapacityOf(worker), priority: 0 });
     return `${victims?.length} run stops`;
 };
 
--- a/features/steps/examples/shardRows.ts
+++ b/features/steps/examples/shardRows.ts
@@ -88,7 +88,7 @@
         store: store.connect("entry-1"),
         table: "workers",
         part: "",
-        wanted: () => true,
+        isNeeded: () => true,
     });
     await clock.advance(100);
     return `${(await read)?.rows.length} rows`;
--- a/features/steps/examples/shardWorkers.ts
+++ b/features/steps/examples/shardWorkers.ts
@@ -13,11 +13,11 @@
     defaultShardSettings,
     extendLease,
     type FencedWorkerPort,
+    freeCapacityOf,
     isWaiting,
     mayGoDown,
     newJob,
     openWorkerLink,
-    roomOf,
     runsToMove,
     startUpkeep,
     watchWorkerList,
@@ -112,7 +112,7 @@
 const workerTable = (): string => {
     const worker = openWorker();
     const deadlineMs = extendLease(worker, 500, 5_000);
-    return `until ${deadlineMs} on its clock, ${roomOf(worker).cpuMillis} free`;
+    return `until ${deadlineMs} on its clock, ${freeCapacityOf(worker).cpuMillis} free`;
 };
 
 const workerWatch = (): string => {
--- a/features/steps/restSteps.ts
+++ b/features/steps/restSteps.ts
@@ -15,7 +15,7 @@
 import {
     createShardWorkers,
     defaultShardSettings,
-    holdRoom,
+    holdCapacity,
     isOpen,
     newJob,
     newRun,
@@ -209,7 +209,7 @@
             const task = tasksOf(1).at(-1) ?? assert.fail("no task");
             const run = newRun(task, workerId, 1, { address: worker().entry.address, bornAtMs: worker().bornAtMs });
             task.runs.push(run);
-            assert.ok(holdRoom(worker(), run));
+            assert.ok(holdCapacity(worker(), run));
             workers.start(run, "");
         };
         partOf<Part>(this, "rests", () => ({ clock, worker, start, failedAtMs: undefined, refused: false }));
--- a/features/steps/tokenSteps.ts
+++ b/features/steps/tokenSteps.ts
@@ -17,12 +17,12 @@
     createWorkerWatch,
     type DelayedStarts,
     type FencedWorkerPort,
-    holdRoom,
+    holdCapacity,
     newJob,
     newRun,
     newWorker,
-    noteStartUnanswered,
     openWorkerLink,
+    recordStartUnanswered,
     runPhases,
     type ShardRun,
     type ShardWorker,
@@ -114,7 +114,7 @@
     const task = newJob(submission, testQueue, { acceptedAtMs: 0, order: 1 }).occurrences.get(0)?.steps[0]?.tasks[0];
     assert.ok(task !== undefined);
     const run = newRun(task, worker.workerId, 1);
-    holdRoom(worker, run);
+    holdCapacity(worker, run);
     return run;
 };
 
@@ -190,7 +190,7 @@
         const clock = createFakeClock();
         const delayedStarts = createDelayedStarts(clock);
         for (let run = 1; run <= starts; run += 1) {
-            delayedStarts.note("i-1", { taskName: "00000000000000a1.0.0.0", run });
+            delayedStarts.record("i-1", { taskName: "00000000000000a1.0.0.0", run });
         }
         const link = openLink(this, {
             clock,
@@ -288,7 +288,7 @@
     const worker = newWorker(workerEntry("i-1", 1), 0);
     const run = runOn(worker);
     run.phase = runPhases.starting;
-    noteStartUnanswered(worker, 0, clock.monotonicMs());
+    recordStartUnanswered(worker, 0, clock.monotonicMs());
     const watch = createWorkerWatch({
         clock,
         log: quietLog,
--- a/packages/puffinarch/src/core/shard/adviceDispatcher.ts
+++ b/packages/puffinarch/src/core/shard/adviceDispatcher.ts
@@ -59,7 +59,7 @@
     close(): void;
 }
 
-/** Calls that cost more than this are slow. It lies between the cheap (28 ms) and the expensive (530 ms) calls of the two sites. */
+/** Calls that cost more than this are slow. It lies between the costs of quick calls (28 ms) and slow ones (530 ms). */
 const slowCostMs = 150;
 /** Largest share of the lanes that is closed to slow calls; of two lanes or more, at least one may be. */
 const quickLaneShare = 0.25;
--- a/packages/puffinarch/src/core/shard/adviceRequester.ts
+++ b/packages/puffinarch/src/core/shard/adviceRequester.ts
@@ -11,7 +11,7 @@
 import { allowsAnotherRun, countRuns, isEligible, ticketFor } from "./eligible.js";
 import { hasEnded, isWaiting, reservedResources, type ShardStep, stepNameOf } from "./jobModel.js";
 import type { ShardSettings } from "./shardSettings.js";
-import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
+import { freeCapacityOf, isOpen, type ShardWorker } from "./workerTable.js";
 
 /** Dependencies of a requester of advice. */
 export interface AdviceRequesterOptions {
@@ -47,7 +47,7 @@
 
 /** Pause before the next call for a step after a failed one. */
 const retryMs = 150;
-/** Pause after no worker was worth naming; examining all workers in each pass costs more than the delay. */
+/** Pause after a search found no worker to name; a search examines all workers, and one in each pass costs more than the delay. */
 const emptyPauseMs = 40;
 /** A call after the first names this many more workers than there are waiting tasks, since some workers fill up meanwhile. */
 const spareNames = 4;
@@ -124,8 +124,8 @@
      */
     const byFreeCapacity = ({ spec }: ShardStep, nowMs: number) => (left: ShardWorker, right: ShardWorker): number =>
         Number(isOpen(right, nowMs)) - Number(isOpen(left, nowMs))
-        || (spec.size.accelerators > 0 ? roomOf(right).accelerators - roomOf(left).accelerators : 0)
-        || roomOf(right).cpuMillis - roomOf(left).cpuMillis;
+        || (spec.size.accelerators > 0 ? freeCapacityOf(right).accelerators - freeCapacityOf(left).accelerators : 0)
+        || freeCapacityOf(right).cpuMillis - freeCapacityOf(left).cpuMillis;
 
     /** Workers with reserved capacity that is free by the end of a call made now, and whose tickets expire too soon to use it. */
     const reservedSoon = ({ step, reservations, nowMs }: TicketRequest): readonly string[] => {
--- a/packages/puffinarch/src/core/shard/avoidance.ts
+++ b/packages/puffinarch/src/core/shard/avoidance.ts
@@ -13,13 +13,13 @@
     minTasksToStart,
 } from "./eligible.js";
 import { estimatedEndMs, isOnLastAttempt, isWaiting, type ShardStep, type ShardTask } from "./jobModel.js";
-import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
+import { freeCapacityOf, isOpen, type ShardWorker } from "./workerTable.js";
 
 /** A worker that failed a task within this time is chosen for it only where no other one has capacity. */
 const preferOthersMs = 15_000;
 /**
  * How long a task avoids a worker that failed it and waits for others, which may stay full, shrunk or unresponsive, or have
- * capacity for only part of its gang. Users count work as lost that does not run for 3 s although capacity is free; the
+ * capacity for only part of its gang. Work that does not run for 3 s although capacity is free counts as lost; the
  * remaining second covers a pass and the start.
  */
 const avoidMs = 2_000;
@@ -75,7 +75,7 @@
 
 const capacityBy = (worker: ShardWorker, byMs: number, nowMs: number): Resources =>
     [...worker.runs.values()].filter(run => estimatedEndMs(run, nowMs) <= byMs)
-        .reduce((room, run) => add(room, run.held), roomOf(worker));
+        .reduce((free, run) => add(free, run.held), freeCapacityOf(worker));
 
 /** Whether other workers are expected to have capacity by `byMs` for all tasks that must start together. */
 const hasCapacityBy = (step: ShardStep, others: readonly ShardWorker[], byMs: number, nowMs: number): boolean => {
@@ -98,7 +98,7 @@
     new Map(
         [...failedOn].filter(([workerId, failedAtMs]) => {
             const worker = workers.get(workerId);
-            return worker !== undefined && nowMs - failedAtMs < withinMs && worker.lastSoundSentAtMs <= failedAtMs;
+            return worker !== undefined && nowMs - failedAtMs < withinMs && worker.lastCompletedSentAtMs <= failedAtMs;
         }),
     );
 
--- a/packages/puffinarch/src/core/shard/blockedSteps.ts
+++ b/packages/puffinarch/src/core/shard/blockedSteps.ts
@@ -7,7 +7,7 @@
 import { countRuns, countTasksThatFit, isEligible, minTasksToStart } from "./eligible.js";
 import type { ShardStep, ShardTask } from "./jobModel.js";
 import { isBlockedByTrial } from "./trials.js";
-import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
+import { freeCapacityOf, isOpen, type ShardWorker } from "./workerTable.js";
 
 /**
  * How long a step waits for reserved capacity and for resting workers. A job of which nothing runs for 3 s although capacity is
@@ -38,7 +38,7 @@
     const runs = countRuns(step);
     let needed = minTasksToStart(step);
     for (const worker of snapshot.workers.values()) {
-        const places = countTasksThatFit(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
+        const places = countTasksThatFit(freeCapacityOf(worker), step, runs.get(worker.workerId) ?? 0);
         if (places > 0 && isUsable(worker, step, snapshot)) {
             needed -= places;
         }
--- a/packages/puffinarch/src/core/shard/capacityView.ts
+++ b/packages/puffinarch/src/core/shard/capacityView.ts
@@ -3,7 +3,7 @@
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
 import { isBlockedLong, maxBlockedMs } from "./blockedSteps.js";
 import type { ShardRun, ShardStep } from "./jobModel.js";
-import { roomOf, type ShardWorker } from "./workerTable.js";
+import { freeCapacityOf, type ShardWorker } from "./workerTable.js";
 
 /** Capacity on one worker that is reserved for one task of a step. */
 export interface Reservation {
@@ -100,23 +100,23 @@
             }
         },
         capacityFor: (worker, step, aheadMs = 0) => {
-            let room = roomOf(worker);
+            let free = freeCapacityOf(worker);
             for (const reservation of reservationsOn(worker)) {
                 if (
                     reservation.step !== step && !canBackfill(step, reservation, nowMs)
                     && !mayOverride(step, reservation, nowMs + aheadMs)
                 ) {
-                    room = subtract(room, reservation.held);
+                    free = subtract(free, reservation.held);
                 }
             }
-            return room;
+            return free;
         },
         recordPlacement: (worker, step) => {
             const others = reservationsOn(worker).filter(reservation =>
                 reservation.step !== step && !canBackfill(step, reservation, nowMs)
             );
             const held = others.reduce((sum, reservation) => add(sum, reservation.held), noResources);
-            if (fits(held, roomOf(worker))) {
+            if (fits(held, freeCapacityOf(worker))) {
                 return;
             }
             for (const reservation of others.filter(reservation => reservation.step.nextBypassAtMs <= nowMs)) {
--- a/packages/puffinarch/src/core/shard/cellMember.ts
+++ b/packages/puffinarch/src/core/shard/cellMember.ts
@@ -68,11 +68,11 @@
         readonly readConfiguration: (row: Row) => Decoded<CellConfiguration>;
         readonly workerTable: string;
         readonly readWorker: (row: Row) => Decoded<WorkerEntry>;
-        /** Waves of upkeep, whose rows are in `configurationTable`; left out where the platform has none. */
+        /** Upkeep waves, whose rows are in `configurationTable`; left out where the platform has none. */
         readonly upkeep?: {
             readonly port: VmPort;
-            /** How long a request sent by a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
-            readonly settleMs: number;
+            /** How long an upkeep order of a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
+            readonly staleOrderWindowMs: number;
             readonly readWave: (row: Row) => Decoded<UpkeepWave>;
             readonly stateRow: (wave: number, state: WaveState) => RowKey & { readonly value: string; };
         };
@@ -168,7 +168,7 @@
         ownerVersion: () => knownOwner?.version ?? 0,
         onOwner: known => updateKnownOwner(known, "peer"),
     });
-    /** Waves of upkeep by the key of their row. */
+    /** Upkeep waves by the key of their row. */
     const waves = new Map<string, UpkeepWave>();
     let workerWatch: TableWatch | undefined;
     let configuration: CellConfiguration | undefined;
@@ -306,7 +306,7 @@
                 committedToken,
                 restoreIdleTimeoutMs,
                 restoreTimeoutMs: Math.max(minRestoreBudgetMs, startedAtMs - lastServingAtMs()),
-                wanted: () =>
+                isNeeded: () =>
                     !closed && (knownOwner?.version ?? 0) <= seenVersion
                         && clock.monotonicMs() - startedAtMs < maxClaimMs
                     || knownOwner?.row.claimId === claimId,
--- a/packages/puffinarch/src/core/shard/chooseWorker.ts
+++ b/packages/puffinarch/src/core/shard/chooseWorker.ts
@@ -10,7 +10,7 @@
 import { allowsTrial, crashExposureOf, isBlockedByTrial, isSuspect } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
-/** Capacity of a worker, what of it a step may use, and what a task would hold. */
+/** Capacity of a worker, the part of it that a step may use now (`room`), and what a task would reserve (`held`). */
 interface Offer {
     readonly capacity: Resources;
     readonly room: Resources;
--- a/packages/puffinarch/src/core/shard/claimShard.ts
+++ b/packages/puffinarch/src/core/shard/claimShard.ts
@@ -19,7 +19,7 @@
     /** Version of the owner row that this claim replaces; 0 where there is none. */
     readonly seenVersion: number;
     /** Returns false once the claim has to be abandoned. */
-    readonly wanted: () => boolean;
+    readonly isNeeded: () => boolean;
     /** Returns this claim's version of the owner row once a peer or a change feed has reported it, possibly before the store's answer. */
     readonly reportedToken: () => number | undefined;
     /** This claim's version of the owner row where it has already taken effect; undefined where it is still to be written. */
@@ -57,11 +57,11 @@
     return decoded.kind === "entry" && decoded.entry.claimId === owner.claimId ? row.version : undefined;
 };
 
-/** Writes the claim until its outcome is known; undefined where it had no effect, or is no longer wanted. */
+/** Writes the claim until its outcome is known; undefined where it had no effect, or is no longer needed. */
 const writeClaim = async (options: ClaimOptions): Promise<number | undefined> => {
-    const { clock, log, store, part, owner, seenVersion, wanted } = options;
+    const { clock, log, store, part, owner, seenVersion, isNeeded } = options;
     const key = { table: ownerTable, part, key: ownerKey };
-    while (wanted()) {
+    while (isNeeded()) {
         const result = await store.transact({
             expect: [{ ...key, version: seenVersion }],
             puts: [{ ...key, value: JSON.stringify(owner) }],
@@ -96,7 +96,7 @@
  * read in time. Once the claim takes effect, commits and orders of the former owner are refused by their lower fencing token.
  *
  * @example
- * const claimed = await claimShard({ clock, log, store, part: "shard-0", owner, seenVersion, wanted, reportedToken, onClaimed, restoreIdleTimeoutMs: 2_500, restoreTimeoutMs: 5_000 });
+ * const claimed = await claimShard({ clock, log, store, part: "shard-0", owner, seenVersion, isNeeded, reportedToken, onClaimed, restoreIdleTimeoutMs: 2_500, restoreTimeoutMs: 5_000 });
  */
 export const claimShard = async (options: ClaimOptions): Promise<ClaimedShard | undefined> => {
     const startedAtMs = options.clock.monotonicMs();
@@ -109,7 +109,7 @@
     const read = await readAllRows({
         ...options,
         table: journalTable,
-        patienceMs: options.restoreIdleTimeoutMs,
+        idleTimeoutMs: options.restoreIdleTimeoutMs,
         withinMs: options.restoreTimeoutMs,
     });
     if (read === undefined) {
--- a/packages/puffinarch/src/core/shard/commitLog.ts
+++ b/packages/puffinarch/src/core/shard/commitLog.ts
@@ -1,7 +1,7 @@
 /**
  * Group commit of a shard. At most one transaction is in flight; the next one holds everything that changed meanwhile. The store
  * serialises the transactions of one partition, so concurrent ones would only queue there. Each transaction is conditional on the owner's
- * row, which fences a replaced owner, and on a sequence row, so that a duplicate that is applied late cannot restore old rows.
+ * row, which fences a former owner, and on a sequence row, so that a duplicate that is applied late cannot restore old rows.
  */
 
 import type { RowTransaction } from "../../types/cellPorts.js";
--- a/packages/puffinarch/src/core/shard/commitMonitor.ts
+++ b/packages/puffinarch/src/core/shard/commitMonitor.ts
@@ -76,7 +76,7 @@
             if (clock.monotonicMs() - readAtMs >= readIntervalMs) {
                 await refresh();
             }
-            // Measured up to the newest read, since the time after it may hold a commit that was not read yet.
+            // Counted up to the newest read, since the time after it may hold a commit that was not read yet.
             return seen !== undefined && readAtMs - seen.sinceMs >= quietMs;
         },
         reset: () => {
--- a/packages/puffinarch/src/core/shard/correlatedCrashes.ts
+++ b/packages/puffinarch/src/core/shard/correlatedCrashes.ts
@@ -1,6 +1,6 @@
 /**
  * Records when workers fell silent. Workers that do so at one moment under tasks of different jobs have a common cause, such
- * as a rack's power: 12 workers may go at once with hundreds of sound tasks on them, and the same task may be hit again.
+ * as a rack's power: 12 workers may go down at once with hundreds of sound tasks on them, and the same task may be hit again.
  */
 
 import type { CrashedRun } from "./crashes.js";
@@ -10,7 +10,7 @@
 /** Records which workers fell silent, when, and under which jobs. */
 export interface CorrelatedCrashes {
     /** Records that an incarnation fell silent, and the runs that had just been started on it. */
-    note(incarnation: WorkerIncarnation, atMs: number, runs: readonly CrashedRun[]): void;
+    record(incarnation: WorkerIncarnation, atMs: number, runs: readonly CrashedRun[]): void;
     /**
      * Removes an incarnation that answers again, as it had not crashed. An answer of a later incarnation under the id leaves
      * the record.
@@ -38,13 +38,13 @@
  *
  * @example
  * const correlatedCrashes = createCorrelatedCrashes();
- * correlatedCrashes.note({ workerId: "i-1", bornAtMs: undefined }, 1_000, []);
+ * correlatedCrashes.record({ workerId: "i-1", bornAtMs: undefined }, 1_000, []);
  * correlatedCrashes.countOthersAt(1_050, job); // 1
  */
 export const createCorrelatedCrashes = (): CorrelatedCrashes => {
     const byIncarnation = new Map<string, SilentWorker>();
     return {
-        note: (incarnation, atMs, runs) => {
+        record: (incarnation, atMs, runs) => {
             for (const [known, silent] of byIncarnation) {
                 if (atMs - silent.atMs > retentionMs) {
                     byIncarnation.delete(known);
--- a/packages/puffinarch/src/core/shard/crashes.ts
+++ b/packages/puffinarch/src/core/shard/crashes.ts
@@ -1,7 +1,7 @@
 /**
  * Counts worker crashes against the tasks that may have caused them. A run that is lost with its worker has no end and uses
- * up no attempt: without these counts, one task that crashes each worker that starts it kept 4 to 8 of 40 workers down for as
- * long as its job lasted. The counts are part of the job's row.
+ * up no attempt: without these counts, one task that crashes each worker that starts it keeps 4 to 8 of 40 workers down for as
+ * long as its job lasts. The counts are part of the job's row.
  */
 
 import { failureCauses } from "../../types/work.js";
@@ -26,14 +26,14 @@
 }
 
 /**
- * A run that has been at work for this long does not crash its worker on start, and clears its task's counts; a long-running
- * task would otherwise be given up for unrelated crashes over a month. As long as a lease, within which a silent worker's end
- * is known.
+ * A run that lasts this long shows that its task does not crash workers on start, and clears the task's crash counts; otherwise
+ * unrelated crashes over a month would add up and fail a long-running task. It equals the duration of a lease, within which the
+ * end of a silent worker is known.
  */
 const soundAfterMs = 5_000;
 /**
  * A task that crashes its worker on start does so within this time. Runs that had been at work for longer when their worker
- * crashed are not blamed where others had just started.
+ * crashed are not counted where others had just started.
  */
 export const atWorkMs = 300;
 /**
@@ -132,7 +132,7 @@
     }
     else {
         task.crashes += 1;
-        // Counted apart, so that a sound task whose start was lost is not given up for a worker on which it never ran.
+        // Counted separately, so that a sound task whose start was lost is not given up for a worker on which it never ran.
         task.crashesUnconfirmed += confirmed ? 0 : 1;
     }
     failAfterCrashes(task, alone && confirmed && !excused, nowMs);
@@ -141,8 +141,8 @@
 
 /**
  * Counts a crash that may not have happened: the start may have been carried out by an incarnation that crashed between two
- * answers of its worker. Such counts keep a task that crashes its workers from being started for ever, but fail no job
- * without confirmed crashes. Returns false where the task is done or a later run has shown it to be sound.
+ * answers of its worker. Such counts limit the starts of a task that crashes its workers, but fail no job without confirmed
+ * crashes. Returns false where the task is done or a later run has shown it to be sound.
  *
  * @example
  * if (countPossibleCrash(run, clock.monotonicMs())) { onChange(jobOf(run)); }
@@ -165,13 +165,13 @@
  * recordConfirmedRuns(crashedRuns(worker, nowMs)).forEach(changed);
  */
 export const recordConfirmedRuns = (runs: readonly CrashedRun[]): readonly ShardJob[] => {
-    const noted = runs.filter(({ task, confirmed }) =>
+    const recorded = runs.filter(({ task, confirmed }) =>
         confirmed && task.crashes + task.crashesExcused + task.unresolvedLosses.length > 0
     );
-    for (const { task, run } of noted) {
+    for (const { task, run } of recorded) {
         task.confirmedRun = run;
     }
-    return noted.map(({ task }) => task.step.occurrence.job);
+    return recorded.map(({ task }) => task.step.occurrence.job);
 };
 
 /**
--- a/packages/puffinarch/src/core/shard/delayedStarts.ts
+++ b/packages/puffinarch/src/core/shard/delayedStarts.ts
@@ -16,7 +16,7 @@
 /** Keeps starts that may still be carried out. */
 export interface DelayedStarts {
     /** Records a start that got no answer from this worker, or that a former owner sent and that may still be in flight. */
-    note(workerId: string, order: DelayedStart): void;
+    record(workerId: string, order: DelayedStart): void;
     /** Whether a recorded start may still be in flight. */
     has(workerId: string, order: DelayedStart): boolean;
     /** All recorded starts that may still be in flight to a worker. */
@@ -35,7 +35,7 @@
  *
  * @example
  * const delayed = createDelayedStarts(clock);
- * delayed.note("i-1", { taskName: "5c0e7a21d94b36f8.0.1.17", run: 2 });
+ * delayed.record("i-1", { taskName: "5c0e7a21d94b36f8.0.1.17", run: 2 });
  * delayed.of("i-1").length; // 1
  */
 export const createDelayedStarts = (clock: Clock): DelayedStarts => {
@@ -55,7 +55,7 @@
     };
 
     return {
-        note: (workerId, { taskName, run }) => {
+        record: (workerId, { taskName, run }) => {
             const open = byWorker.get(workerId) ?? new Map<string, TrackedStart>();
             byWorker.set(workerId, open);
             open.set(runKey(taskName, run), { taskName, run, untilMs: clock.monotonicMs() + maxDelayMs });
--- a/packages/puffinarch/src/core/shard/eligible.ts
+++ b/packages/puffinarch/src/core/shard/eligible.ts
@@ -38,11 +38,11 @@
  * Counts the tasks of a step that fit together into the given capacity of a worker.
  *
  * @example
- * countTasksThatFit(roomOf(worker), step, countRuns(step).get(worker.workerId) ?? 0);
+ * countTasksThatFit(freeCapacityOf(worker), step, countRuns(step).get(worker.workerId) ?? 0);
  */
-export const countTasksThatFit = (room: Resources, { spec }: ShardStep, runsHere: number): number => {
+export const countTasksThatFit = (free: Resources, { spec }: ShardStep, runsHere: number): number => {
     const held = reservedResources(spec);
-    let left = room;
+    let left = free;
     let places = 0;
     while (places < spec.count && allowsAnotherRun(spec, runsHere + places) && fits(held, left)) {
         left = subtract(left, held);
@@ -86,7 +86,7 @@
  * Tells whether a worker fulfils the step's requirements: service, label and total capacity.
  *
  * @example
- * suits(worker, step);
+ * isEligible(worker, step);
  */
 export const isEligible = (worker: ShardWorker, step: ShardStep): boolean =>
     hasServiceAndLabel(worker, step) && fits(reservedResources(step.spec), worker.entry.capacity);
@@ -95,7 +95,7 @@
  * Tells whether a worker has the service and the label that a step requires, whatever its capacity.
  *
  * @example
- * isOfKind(worker, step);
+ * hasServiceAndLabel(worker, step);
  */
 export const hasServiceAndLabel = ({ entry }: ShardWorker, { spec, occurrence }: ShardStep): boolean =>
     entry.service === occurrence.job.queue.service
@@ -105,7 +105,7 @@
  * Tells whether a worker might become eligible for the step: its capacity may return to the most that it was listed with.
  *
  * @example
- * mightSuit(worker, step);
+ * mightBecomeEligible(worker, step);
  */
 export const mightBecomeEligible = (worker: ShardWorker, step: ShardStep): boolean =>
     hasServiceAndLabel(worker, step) && fits(reservedResources(step.spec), worker.maxCapacity);
--- a/packages/puffinarch/src/core/shard/firstLooks.ts
+++ b/packages/puffinarch/src/core/shard/firstLooks.ts
@@ -1,7 +1,7 @@
 /**
  * Limits how many first looks of a new owner are under way at once. Each answer costs processor time for a new connection and
- * for the list of all that runs there: 350 looks at once kept a daemon from answering its peers' pings for a second or more,
- * so that it was replaced as lost by a daemon that began the same work anew.
+ * for the list of all that runs there: 350 looks at once keep a daemon from answering its peers' pings for a second or more,
+ * so that it is replaced as lost by a daemon that begins the same work anew.
  */
 
 import type { Clock } from "../../types/ports.js";
--- a/packages/puffinarch/src/core/shard/jobModel.ts
+++ b/packages/puffinarch/src/core/shard/jobModel.ts
@@ -51,11 +51,11 @@
     /** Local time at which its start order was first sent; undefined before that, and if a former owner sent it. */
     sentAtMs: number | undefined;
     /**
-     * A status poll (`look`) that is sent after this local time and does not list the run proves that the run is gone; undefined until
-     * its order is answered or given up as unanswered.
+     * A look that is sent after this local time and does not list the run proves that the run is gone; undefined until its order is
+     * answered or given up as unanswered.
      */
     absenceProvenAfterMs: number | undefined;
-    /** Whether a poll of its worker has listed it; before that, it is unknown which incarnation carried its order out. */
+    /** Whether a look at its worker has listed it; before that, it is unknown which incarnation carried its order out. */
     wasListed: boolean;
     /**
      * Local time until which any incarnation of its worker may still carry out its start order; undefined once the order was answered,
@@ -64,14 +64,14 @@
     mayArriveUntilMs: number | undefined;
     /** Whether the worker's current incarnation does not run it and would refuse its order. */
     absent: boolean;
-    /** A worker incarnation that this owner never polled may have carried out its order and crashed because of it. */
+    /** A worker incarnation that never answered a look of this owner may have carried out its order and crashed because of it. */
     mayHaveCrashed: boolean;
     /** Local time at which its worker first confirmed that it runs. */
     startedAtMs: number | undefined;
-    /** Share of time in percent that it may work, and its activity figure (`RunningRun.figure`), as the newest poll reported them. */
+    /** Share of time in percent that it may work, and its activity figure (`RunningRun.figure`), as the newest look reported them. */
     percent: number;
     figure: number;
-    /** Local time since which every poll has reported that it uses no CPU; undefined while it uses some. */
+    /** Local time since which every look has reported that it uses no CPU; undefined while it uses some. */
     idleSinceMs: number | undefined;
 }
 
@@ -161,7 +161,7 @@
     /** Time that it was blocked before the current wait, since its newest start. */
     blockedBeforeMs: number;
     /**
-     * How often steps that waited long took capacity that was reserved for this one, and the earliest local time at which that may happen
+     * How often steps that were blocked for long took capacity that was reserved for this one, and the earliest local time at which that may happen
      * again.
      */
     timesBypassed: number;
@@ -185,7 +185,7 @@
     readonly remainingByStepMs: readonly number[];
 }
 
-/** A job of the shard, from its submission until it is forgotten after its end. */
+/** A job of the shard, from its submission until it is deleted some time after its end. */
 export interface ShardJob {
     readonly submission: JobSubmission;
     /** Resource use of its organisation; shared by all jobs of that organisation. */
--- a/packages/puffinarch/src/core/shard/jobRowSchemas.ts
+++ b/packages/puffinarch/src/core/shard/jobRowSchemas.ts
@@ -103,9 +103,9 @@
     place: z.tuple([wholeNumber, wholeNumber, wholeNumber], "the position of a task"),
     run: wholeNumber,
     untilMs: z.number("a time"),
-    /** The worker incarnation that was polled last does not run it and would refuse its order. */
+    /** The worker incarnation that answered the last look does not run it and would refuse its order. */
     absent: flag,
-    /** A worker incarnation that was never polled may have crashed because of it. */
+    /** A worker incarnation that never answered a look may have crashed because of it. */
     mayHaveCrashed: flag,
 });
 
--- a/packages/puffinarch/src/core/shard/jobRows.ts
+++ b/packages/puffinarch/src/core/shard/jobRows.ts
@@ -58,9 +58,9 @@
     readonly address: string;
     /** Local time until which its unanswered start order may still be carried out; undefined if the row does not state it. */
     readonly mayArriveUntilMs: number | undefined;
-    /** The worker incarnation that was polled last does not run it and would refuse its order. */
+    /** The worker incarnation that answered the last look does not run it and would refuse its order. */
     readonly absent: boolean;
-    /** A worker incarnation that was never polled may have crashed because of it. */
+    /** A worker incarnation that never answered a look may have crashed because of it. */
     readonly mayHaveCrashed: boolean;
     /** Local time at which the state row was written. */
     readonly storedAtMs: number;
@@ -164,7 +164,7 @@
 };
 
 /**
- * Live runs whose start order is unanswered. Without them, a successor would start the task elsewhere as soon as a poll does not list the
+ * Live runs whose start order is unanswered. Without them, a successor would start the task elsewhere as soon as a look does not list the
  * run, although the order may still be carried out.
  */
 const encodeUnanswered = (job: ShardJob, clock: Clock): readonly StoredUnanswered[] => {
--- a/packages/puffinarch/src/core/shard/ownerProgress.ts
+++ b/packages/puffinarch/src/core/shard/ownerProgress.ts
@@ -28,7 +28,7 @@
     review(waitingSteps: number): void;
 }
 
-/** Time without a start before the first warning, the longest that a task may wait beside free room; doubles for each further one. */
+/** Time without a start before the first warning, the longest that a task may wait beside free capacity; doubles for each further one. */
 const firstWarningAfterMs = 3_000;
 
 /**
--- a/packages/puffinarch/src/core/shard/ownerWatch.ts
+++ b/packages/puffinarch/src/core/shard/ownerWatch.ts
@@ -450,9 +450,9 @@
     };
 
     /**
-     * Pings peers, and the owner as soon as a peer stops answering: both may be on the other side of a network partition. In a
-     * simulation with 18 of 97 daemons cut off, these then report that they are not ready after 0.5 to 0.8 s in place of 1.4 to
-     * 1.7 s.
+     * Pings peers, and the owner as soon as a peer stops answering: both may be on the other side of a network partition. With
+     * 18 of 97 daemons cut off, these report that they are not ready after 0.5 to 0.8 s; without this ping of the owner, after
+     * 1.4 to 1.7 s.
      */
     const pingPeers = (pinged: readonly MemberRow[]): void => {
         for (const peer of pinged) {
--- a/packages/puffinarch/src/core/shard/pacer.ts
+++ b/packages/puffinarch/src/core/shard/pacer.ts
@@ -19,7 +19,7 @@
 
 /** Adjusts the processor shares of best-effort tasks. */
 export interface Pacer {
-    /** Reviews a worker's runs after it was polled; calls `pace` for each run whose share, in percent, changes. */
+    /** Reviews a worker's runs after a look was answered; calls `pace` for each run whose share, in percent, changes. */
     review(worker: ShardWorker, pace: (run: ShardRun, percent: number) => void): void;
 }
 
--- a/packages/puffinarch/src/core/shard/probes.ts
+++ b/packages/puffinarch/src/core/shard/probes.ts
@@ -1,7 +1,7 @@
 /**
  * Selects the daemons that a daemon pings, and the order in which daemons claim the shard. Each daemon pings only a few others,
- * chosen by a hash over the table of members, so that the load on a VM stays constant as the cell grows: in a simulated cell of
- * 97 daemons 599 calls a second in place of 5,280 where every daemon pings every other.
+ * chosen by a hash over the table of members, so that the load on a VM stays constant as the cell grows: a cell of 97 daemons
+ * makes 599 calls a second, and would make 5,280 if every daemon pinged every other.
  */
 
 import type { MemberRow } from "../../types/cellPorts.js";
--- a/packages/puffinarch/src/core/shard/readRows.ts
+++ b/packages/puffinarch/src/core/shard/readRows.ts
@@ -13,9 +13,9 @@
     readonly table: string;
     readonly part: string;
     /** Returns false once the read is no longer needed. */
-    readonly wanted: () => boolean;
+    readonly isNeeded: () => boolean;
     /** Gives up once no page has arrived for this long; never where it is left out. */
-    readonly patienceMs?: number;
+    readonly idleTimeoutMs?: number;
     /** Gives up once the whole read has taken this long; never where it is left out. */
     readonly withinMs?: number;
     /** Most rows of the first page, for tables whose rows are known to be small. */
@@ -61,7 +61,7 @@
  * read is no longer needed, or one of its time limits has passed.
  *
  * @example
- * const read = await readAllRows({ clock, log, store, table, part, wanted: () => true });
+ * const read = await readAllRows({ clock, log, store, table, part, isNeeded: () => true });
  */
 export const readAllRows = async (
     {
@@ -70,8 +70,8 @@
         store,
         table,
         part,
-        wanted,
-        patienceMs = Infinity,
+        isNeeded,
+        idleTimeoutMs = Infinity,
         withinMs = Infinity,
         firstPageRows = defaultFirstPageRows,
         retryPauseMs = defaultRetryPauseMs,
@@ -87,8 +87,8 @@
     const startedAtMs = clock.monotonicMs();
     let lastPageAtMs = startedAtMs;
     const isOverdue = (): boolean =>
-        clock.monotonicMs() - lastPageAtMs >= patienceMs || clock.monotonicMs() - startedAtMs >= withinMs;
-    while (wanted() && !isOverdue()) {
+        clock.monotonicMs() - lastPageAtMs >= idleTimeoutMs || clock.monotonicMs() - startedAtMs >= withinMs;
+    while (isNeeded() && !isOverdue()) {
         const askedAtMs = clock.monotonicMs();
         try {
             const page = await store.read(table, part, fromKey, pageRows, longestPageMs);
--- a/packages/puffinarch/src/core/shard/runOrders.ts
+++ b/packages/puffinarch/src/core/shard/runOrders.ts
@@ -8,7 +8,7 @@
 import type { DelayedStart } from "./delayedStarts.js";
 import { incarnationOf } from "./incarnations.js";
 import { runPhases, type ShardRun } from "./jobModel.js";
-import { noteStartAnswered, noteStartUnanswered } from "./startBreaker.js";
+import { recordStartAnswered, recordStartUnanswered } from "./startBreaker.js";
 import { holdsForOneIncarnation } from "./unansweredStart.js";
 import type { WorkerLinkOptions } from "./workerLink.js";
 import { extendLease, runKey, type ShardWorker, stillFits } from "./workerTable.js";
@@ -92,7 +92,7 @@
     const handleUnansweredStart = async (run: ShardRun, sentToken: number): Promise<void> => {
         log.write("warn", "startUnanswered", { task: run.task.name, run: run.run, ...incarnationOf(worker) });
         const nowMs = clock.monotonicMs();
-        noteStartUnanswered(worker, run.sentAtMs ?? nowMs, nowMs);
+        recordStartUnanswered(worker, run.sentAtMs ?? nowMs, nowMs);
         // Without a newer token, the worker rejects the order only once its lease deadline has passed.
         run.absenceProvenAfterMs = worker.leaseHorizonMs;
         options.renewToken();
@@ -146,11 +146,11 @@
         }, startTimeoutMs);
         meter.count(`starts.${outcome}`);
         if (outcome === orderOutcomes.unknown) {
-            delayedStarts.note(worker.workerId, { taskName: run.task.name, run: run.run });
+            delayedStarts.record(worker.workerId, { taskName: run.task.name, run: run.run });
         }
         else {
             run.mayArriveUntilMs = undefined;
-            noteStartAnswered(worker);
+            recordStartAnswered(worker);
         }
         return outcome;
     };
@@ -222,7 +222,7 @@
                 return;
             }
             if (outcome !== orderOutcomes.unknown) {
-                noteStartAnswered(worker);
+                recordStartAnswered(worker);
                 return;
             }
             await sleep(clock, orderPauseMs);
--- a/packages/puffinarch/src/core/shard/shardOwner.ts
+++ b/packages/puffinarch/src/core/shard/shardOwner.ts
@@ -71,8 +71,8 @@
     readonly upkeep?: {
         readonly port: VmPort;
         readonly holderId: string;
-        /** How long a request sent by a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
-        readonly settleMs: number;
+        /** How long an upkeep order of a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
+        readonly staleOrderWindowMs: number;
         readonly stateRow: (wave: number, state: WaveState) => RowKey & { readonly value: string; };
     };
     /** Age in ms of the worker list or of the configuration, whichever is older; `Infinity` before both have been read. */
@@ -95,7 +95,7 @@
     updateConfiguration(configuration: CellConfiguration): void;
     /** Passes all listed workers, the ids of those whose entries cannot be read, and the age of the former list in ms. */
     updateWorkers(entries: readonly WorkerEntry[], unreadable: ReadonlySet<string>, formerAgeMs: number): void;
-    /** Passes all waves of upkeep that the operator has requested. */
+    /** Passes all upkeep waves that the operator has requested. */
     updateWaves(waves: readonly UpkeepWave[]): void;
     /** Schedules a pass over the waiting steps and the pending calls to the advisor. */
     wake(): void;
@@ -163,7 +163,7 @@
     let lagMs = 0;
     let tickDueMs = clock.monotonicMs() + tickMs;
     const startedAtMs = clock.monotonicMs();
-    /** Jobs that ended under earlier owners, by id. */
+    /** Jobs that ended under former owners, by id. */
     const endedEarlier = new Map<string, EndedJob>();
     let nextOrder = 1;
     let rejectWaiting: (error: Error) => void = () => {};
@@ -415,7 +415,7 @@
     };
 
     const forgetExpiredJobs = (nowMs: number): void => {
-        // The retention of jobs that ended under earlier owners counts from this owner's start.
+        // The retention of jobs that ended under former owners counts from this owner's start.
         if (nowMs - startedAtMs > settings.retentionMs) {
             for (const jobId of endedEarlier.keys()) {
                 endedEarlier.delete(jobId);
@@ -515,7 +515,7 @@
         log.write("info", "shardRestored", { part, fencingToken, jobs: jobs.size, runs: restored.runs.length });
     };
 
-    /** Reads the jobs that ended under earlier owners, by id with their states, while the other jobs are already being placed. */
+    /** Reads the jobs that ended under former owners, by id with their states, while the other jobs are already being placed. */
     const readEnded = async (): Promise<ReadonlyMap<string, EndedJob>> => {
         const read = await readAllRows({
             clock,
@@ -523,7 +523,7 @@
             store: options.store,
             table: endedTable,
             part,
-            wanted: () => !closed,
+            isNeeded: () => !closed,
         });
         for (const row of read?.rows ?? []) {
             const status = reader.entryOf(row, decodeEnded(row));
@@ -539,7 +539,7 @@
         if (options.upkeep === undefined) {
             return undefined;
         }
-        const { port, holderId, stateRow, settleMs: upkeepSettleMs } = options.upkeep;
+        const { port, holderId, stateRow, staleOrderWindowMs } = options.upkeep;
         const rows = createWaveRows({
             clock,
             log,
@@ -560,7 +560,7 @@
             workers: workers.all,
             stop: workers.stop,
             onIncarnationEnded: workerId => workers.endIncarnation(workerId, "upkeep"),
-            staleOrderWindowMs: upkeepSettleMs,
+            staleOrderWindowMs,
             rows,
         });
     };
--- a/packages/puffinarch/src/core/shard/shardSettings.ts
+++ b/packages/puffinarch/src/core/shard/shardSettings.ts
@@ -7,15 +7,15 @@
 export interface ShardPolicies {
     /** Order in which waiting steps are placed. */
     readonly order: SchedulingOrder;
-    /** Which of the workers with free room are preferred. */
+    /** Which of the workers with free capacity are preferred. */
     readonly packing: Packing;
-    /** Whether room is reserved, and less urgent runs are preempted, for tasks that do not fit anywhere. */
+    /** Whether capacity is reserved, and less urgent runs are preempted, for tasks that do not fit anywhere. */
     readonly room: RoomPolicy;
 }
 
 /**
- * `planned`: room is reserved for tasks that need a large part of a worker, and preemptible runs are stopped for urgent tasks.
- * `none`: tasks are started wherever there is room, without reservations or preemption.
+ * `planned`: capacity is reserved for tasks that need a large part of a worker, and preemptible runs are stopped for urgent tasks.
+ * `none`: tasks are started wherever capacity is free, without reservations or preemption.
  */
 export const roomPolicies = ["planned", "none"] as const;
 /** One of `roomPolicies`. */
@@ -41,12 +41,12 @@
     readonly orderPauseMs: number;
     /**
      * How long an unanswered start may still be carried out, and its task waits. Accepted work may wait at most 3 s beside free
-     * room once there has been no fault for 4 s; a start goes unanswered only during a fault.
+     * capacity once there has been no fault for 4 s; a start goes unanswered only during a fault.
      */
     readonly unansweredStartMs: number;
     /** Whether workers refuse tickets of the advisor that were issued for another incarnation of the worker. */
     readonly ticketsNameIncarnation: boolean;
-    /** How long a replaced owner may go on renewing leases unknown to its successor. */
+    /** How long after it was replaced a former owner may go on renewing leases; its successor assumes that it did. */
     readonly formerOwnerMs: number;
     /** How long a worker may take to stop a run; a guarantee of the platform. */
     readonly stopMs: number;
@@ -56,7 +56,7 @@
     readonly cutOffMs: number;
     /** Submissions are refused at once while commits have been unanswered for longer than this. */
     readonly refuseStalledMs: number;
-    /** A worker on which a run got stuck receives no work for this long. */
+    /** A worker on which a run made no progress gets no new work for this long. */
     readonly stuckWorkerRestMs: number;
     /** An ended job is deleted after this time. */
     readonly retentionMs: number;
--- a/packages/puffinarch/src/core/shard/shardWorkers.ts
+++ b/packages/puffinarch/src/core/shard/shardWorkers.ts
@@ -63,8 +63,8 @@
     /** Adds losses that a former owner left unresolved: runs on workers that may have crashed. */
     restoreLosses(losses: readonly RestoredLoss[]): void;
     /**
-     * Applies the platform's current list: all entries, the ids of workers whose entry cannot be read, and the age that the
-     * former list may have had.
+     * Applies the platform's current list: all entries, the ids of workers whose entry cannot be read, and the age in ms of the
+     * list that it replaces.
      */
     update(entries: readonly WorkerEntry[], unreadable?: ReadonlySet<string>, formerAgeMs?: number): void;
     start(run: ShardRun, ticket: string): void;
@@ -156,7 +156,7 @@
             links.get(worker.workerId)?.stop(run);
         },
         // This incarnation rejects the late order by its fencing token, but the next one will not know that token.
-        onFormerGone: ({ workerId }, { task, run }) => delayedStarts.note(workerId, { taskName: task.name, run }),
+        onFormerGone: ({ workerId }, { task, run }) => delayedStarts.record(workerId, { taskName: task.name, run }),
         onStartLost: stopRestOfGang,
         onAbsent: (worker, run) => {
             probe(worker, { taskName: run.task.name, run: run.run });
@@ -229,7 +229,7 @@
         });
         if (former.silentSinceMs === undefined) {
             // The worker restarted before a look failed, so its crash has not been recorded yet.
-            correlatedCrashes.note(former, nowMs, crashedRuns(former, nowMs));
+            correlatedCrashes.record(former, nowMs, crashedRuns(former, nowMs));
         }
         const left = leaveIncarnation(former, delayedStarts, nowMs);
         dropWorker(former, "otherIncarnation");
@@ -331,7 +331,7 @@
                 // Workers that are silent from the takeover on are all noticed at the same moment, which does not show when
                 // they failed.
                 if (silent.runsKnown) {
-                    correlatedCrashes.note(silent, nowMs, crashed);
+                    correlatedCrashes.record(silent, nowMs, crashed);
                 }
                 recordConfirmedRuns(crashed).forEach(job => changedJobs.add(job));
                 void commitChangedJobs();
--- a/packages/puffinarch/src/core/shard/shortTenures.ts
+++ b/packages/puffinarch/src/core/shard/shortTenures.ts
@@ -30,7 +30,7 @@
 const settlingBaseMs = 5_000;
 /** A tenure is short where it ends within its settling time multiplied by this factor. */
 const shortTenureFactor = 2;
-/** Most doublings of the timeouts; with these the failure of an owner is detected after 2.8 s. */
+/** Most doublings of the timeouts; with 3 the failure of an owner is detected after 2.8 s. */
 const maxDoublings = 3;
 
 /** Reasons for a claim that an overloaded owner can cause. */
@@ -41,8 +41,8 @@
 ]);
 
 /**
- * Returns the factor on the timeouts after which a silent or stalled owner is replaced. Without it, 31 owners followed one
- * another within 15 s in a simulation with 350 workers.
+ * Returns the factor on the timeouts after which a silent or stalled owner is replaced. Without it, the work of a
+ * takeover of 350 workers makes each new owner seem lost: 31 owners follow one another within 15 s.
  *
  * @example
  * timeoutFactor({ shortOffices: 2 }); // 4
--- a/packages/puffinarch/src/core/shard/startBreaker.ts
+++ b/packages/puffinarch/src/core/shard/startBreaker.ts
@@ -10,7 +10,7 @@
 const minOpenMs = 100;
 /**
  * Longest time for which the breaker opens. Together with a call to the advisor it stays below 3 s, for which an accepted
- * task may wait though there is room.
+ * task may wait although capacity is free.
  */
 const maxOpenMs = 1_500;
 
@@ -18,9 +18,9 @@
  * Records that the worker answered a start, which closes the breaker.
  *
  * @example
- * noteStartAnswered(worker);
+ * recordStartAnswered(worker);
  */
-export const noteStartAnswered = (worker: ShardWorker): void => {
+export const recordStartAnswered = (worker: ShardWorker): void => {
     worker.unansweredStarts = 0;
     worker.unansweredOrder = undefined;
 };
@@ -30,9 +30,9 @@
  * maximum. Starts in flight at the same time count as one failure.
  *
  * @example
- * noteStartUnanswered(worker, run.sentAtMs, clock.monotonicMs());
+ * recordStartUnanswered(worker, run.sentAtMs, clock.monotonicMs());
  */
-export const noteStartUnanswered = (worker: ShardWorker, sentAtMs: number, nowMs: number): void => {
+export const recordStartUnanswered = (worker: ShardWorker, sentAtMs: number, nowMs: number): void => {
     if (worker.unansweredStarts > 0 && sentAtMs <= worker.startUnansweredAtMs) {
         return;
     }
--- a/packages/puffinarch/src/core/shard/tableWatch.ts
+++ b/packages/puffinarch/src/core/shard/tableWatch.ts
@@ -78,7 +78,7 @@
                 store,
                 table,
                 part,
-                wanted: () => !stopped,
+                isNeeded: () => !stopped,
                 firstPageRows: maxPageRows,
                 retryPauseMs,
                 longestPageMs,
--- a/packages/puffinarch/src/core/shard/taskPlacer.ts
+++ b/packages/puffinarch/src/core/shard/taskPlacer.ts
@@ -22,7 +22,7 @@
 import { planReservations } from "./planReservations.js";
 import { fellSilentAtStart, holdForTrial, startableTasks } from "./trials.js";
 import { inSchedulingOrder, type RankedStep, standings } from "./urgency.js";
-import { dropRun, holdRoom, type ShardWorker } from "./workerTable.js";
+import { dropRun, holdCapacity, type ShardWorker } from "./workerTable.js";
 
 /** Dependencies of a task placer. */
 export interface TaskPlacerOptions extends Omit<AdviceRequesterOptions, "onAnswer"> {
@@ -99,7 +99,7 @@
             address: worker.entry.address,
             bornAtMs: worker.bornAtMs,
         });
-        if (!holdRoom(worker, run)) {
+        if (!holdCapacity(worker, run)) {
             return undefined;
         }
         if (needsTrial(task)) {
--- a/packages/puffinarch/src/core/shard/taskWait.ts
+++ b/packages/puffinarch/src/core/shard/taskWait.ts
@@ -22,7 +22,7 @@
     type ShardTask,
 } from "./jobModel.js";
 import { isBlockedByTrial, startableTasks } from "./trials.js";
-import { isOpen, roomOf, type ShardWorker } from "./workerTable.js";
+import { freeCapacityOf, isOpen, type ShardWorker } from "./workerTable.js";
 
 /** Events that a task can wait for once its step is ready. */
 export const taskWaits = {
@@ -94,7 +94,7 @@
     "leaving",
     /** Has not yet reported its runs to this owner. */
     "uncertain",
-    /** Did not answer the newest poll. */
+    /** Did not answer the newest look. */
     "silent",
     /** Gets no new work for a while after failures, or is reserved for the trial of another job's task. */
     "resting",
@@ -147,10 +147,10 @@
     if (asked.has(worker.workerId) && !good.has(worker.workerId)) {
         return "barred";
     }
-    if (!allowsAnotherRun(step.spec, runsHere) || !fits(reservedResources(step.spec), roomOf(worker))) {
+    if (!allowsAnotherRun(step.spec, runsHere) || !fits(reservedResources(step.spec), freeCapacityOf(worker))) {
         return "full";
     }
-    // This comes before `noTicket`, since the advisor is not asked about workers that the step avoids.
+    // Checked before `noTicket`, since no tickets are requested for workers that the step avoids.
     if (avoided.has(worker.workerId)) {
         return "avoided";
     }
@@ -203,7 +203,7 @@
     let needed = minTasksToStart(step);
     for (const worker of now.workers.values()) {
         if (isEligible(worker, step) && states.includes(classify(worker))) {
-            needed -= countTasksThatFit(roomOf(worker), step, runs.get(worker.workerId) ?? 0);
+            needed -= countTasksThatFit(freeCapacityOf(worker), step, runs.get(worker.workerId) ?? 0);
         }
     }
     return needed <= 0;
--- a/packages/puffinarch/src/core/shard/trials.ts
+++ b/packages/puffinarch/src/core/shard/trials.ts
@@ -1,7 +1,7 @@
 /**
- * Restarts tasks under which workers have crashed with little risk to other runs. Once a worker has crashed under a step, one
- * task of the step is started at a time until one is at work. Once two have crashed under a task, it is on trial: it runs on
- * a worker by itself until it is at work.
+ * Restarts, at little risk to other runs, tasks under which workers have crashed. Once a worker has crashed under a step, one
+ * task of the step is started at a time until one is at work (see `isAtWork`). Once two have crashed under a task, it is on
+ * trial: it runs on a worker by itself until it is at work.
  */
 
 import { atWorkMs, awaitsCrashConfirmation, isNearCrashLimit, needsTrial } from "./crashes.js";
@@ -14,9 +14,9 @@
  */
 const maxTrialWaitMs = 1_500;
 /**
- * The wait is longer where one more crash might fail the job through the fault of other runs: tasks of a second or so have
- * ended by then. It leaves time for the start itself, since users count a job as lost of which nothing runs for 3 s though
- * there is room.
+ * The same for a task whose job may fail at the next crash even if another run on the worker causes it: within this longer
+ * wait, other tasks of about a second have ended. It leaves time for the start itself, since a job of which nothing runs for
+ * 3 s although capacity is free counts as lost.
  */
 const maxTrialWaitNearLimitMs = 2_000;
 /**
@@ -24,7 +24,7 @@
  * task of it; once a worker has surely crashed under it, with none.
  */
 const maxSilentWorkers = 1;
-/** Largest share of the workers that is kept for trials at any time. */
+/** Largest share of the workers that is reserved for trials at any time. */
 const maxHeldShare = 0.25;
 
 /** The workers at one moment. */
@@ -33,13 +33,14 @@
     readonly nowMs: number;
 }
 
+/** Whether a run has been running for `atWorkMs` on a worker that answers, and so did not crash it on start. */
 const isAtWork = (run: ShardRun, { workers, nowMs }: WorkerSnapshot): boolean =>
     run.phase === runPhases.running && run.startedAtMs !== undefined && nowMs - run.startedAtMs >= atWorkMs
     && workers.get(run.workerId)?.silentLooks === 0;
 
 /**
- * Tells whether a worker fell silent before a run could show to be at work. The task may have crashed it, and a second copy
- * would crash another worker.
+ * Tells whether a worker fell silent less than `atWorkMs` after a run's start was sent. The task may have crashed it, and a
+ * second copy would crash another worker.
  *
  * @example
  * if (fellSilentAtStart(run, worker)) { return; }
@@ -68,8 +69,8 @@
 };
 
 /**
- * The task to start next: the one with most crashes, then with fewest failures, since a task that fails by itself proves
- * nothing for the other tasks of its step, which wait meanwhile.
+ * The task to start next: the one with most crashes, then with fewest failures, since a task that fails by itself shows
+ * nothing about the other tasks of its step, which wait for the outcome.
  */
 const firstToRetry = (tasks: readonly ShardTask[]): readonly ShardTask[] =>
     [...tasks].sort((left, right) => right.crashes - left.crashes || left.failures - right.failures).slice(0, 1);
@@ -109,7 +110,7 @@
 };
 
 /**
- * Tells whether a worker must not start tasks of a job, since it is kept for the trial of another job or runs a task of one
+ * Tells whether a worker must not start tasks of a job, since it is reserved for the trial of another job or runs a task of one
  * on trial.
  *
  * @example
@@ -130,7 +131,7 @@
 const maxTrialWaitMsOf = (task: ShardTask): number => isNearCrashLimit(task) ? maxTrialWaitNearLimitMs : maxTrialWaitMs;
 
 /**
- * Whether a start to the worker went unanswered so lately that it may still be in flight, and be carried out by the next
+ * Whether a start to the worker went unanswered so recently that it may still be in flight, and be carried out by the next
  * incarnation.
  */
 const lostOrderRecently = ({ unansweredStarts, startUnansweredAtMs }: ShardWorker, nowMs: number): boolean =>
@@ -159,13 +160,12 @@
 const countOtherRuns = ({ runs }: ShardWorker, job: ShardJob): number =>
     [...runs.values()].filter(run => jobOf(run) !== job && !run.absent).length;
 
-/** Whether a worker becomes empty in a while if nothing more is started there. */
+/** Whether all runs on a worker end by themselves, so that it becomes empty if nothing more is started there. */
 const hasNoLongRunningRuns = ({ runs }: ShardWorker): boolean =>
     [...runs.values()].every(({ task, absent }) => absent || !task.step.spec.longRunning);
 
 /**
- * Keeps other jobs off a worker until a task on trial can run there by itself. Takes the candidate with the fewest runs of
- * other jobs; does nothing while a worker is kept for the job already, or too many workers are kept.
+ * Reserves a worker for a task on trial until no other job runs there: the candidate with the fewest runs of other jobs. Does nothing while a worker is reserved for the job already, or too many are reserved.
  *
  * @example
  * holdForTrial(task, candidates, { workers, nowMs });
--- a/packages/puffinarch/src/core/shard/unansweredStart.ts
+++ b/packages/puffinarch/src/core/shard/unansweredStart.ts
@@ -1,7 +1,7 @@
 /**
  * Unanswered starts that any incarnation under the worker's id may carry out. A look proves only that one incarnation rejects
  * such an order; the next one would accept it, and run a task that was started elsewhere meanwhile and may have ended there.
- * The task therefore waits, and capacity for it is kept on the worker, until the order can no longer arrive.
+ * The task therefore waits, and capacity for it stays reserved on the worker, until the order can no longer arrive.
  */
 
 import { jobOf, type ShardRun } from "./jobModel.js";
@@ -12,7 +12,7 @@
  * incarnation.
  *
  * @example
- * holdsForOneIncarnation(run, settings); // false where its queue asks for no advice
+ * holdsForOneIncarnation(run, settings); // false where its queue needs no advice
  */
 export const holdsForOneIncarnation = (
     run: ShardRun,
--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out maintenance waves ("waves of upkeep"): each VM of a wave is cordoned, evacuated and then ordered into maintenance, with a
- * limited number of VMs down at once and before the deadline of the wave. Orders are idempotent on the platform, so an order without an
+ * Carries out upkeep waves, which are planned maintenance of VMs: each VM of a wave is cordoned, evacuated and then ordered to begin
+ * its upkeep, with a limited number of VMs down at once and before the deadline of the wave. Orders are idempotent on the platform, so an order without an
  * answer is sent again. Begun VMs are stored durably, so that a successor does not evacuate them again.
  */
 
@@ -23,7 +23,7 @@
 import type { WaveRecord, WaveRows } from "./waveRows.js";
 import type { ShardWorker } from "./workerTable.js";
 
-/** Dependencies of the maintenance waves. */
+/** Dependencies of the upkeep waves. */
 export interface UpkeepOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -36,14 +36,14 @@
     /** Called when the worker's incarnation is over. */
     readonly onIncarnationEnded: (workerId: string) => void;
     /**
-     * For this long after the claim, a VM that a former owner may have ordered is left alone, unless it is listed in maintenance, since
+     * For this long after the claim, a VM that a former owner may have ordered is left alone, unless it is listed in upkeep, since
      * an order of the former owner may still arrive. 0 if the platform rejects lower fencing tokens.
      */
     readonly staleOrderWindowMs: number;
     readonly rows: Pick<WaveRows, "read" | "record" | "show">;
 }
 
-/** Runs maintenance waves while this daemon owns the shard. */
+/** Carries out upkeep waves while this daemon owns the shard. */
 export interface Upkeep {
     /** Sets the waves that the operator requests; waves that are no longer among them are withdrawn. */
     update(waves: readonly UpkeepWave[]): void;
@@ -54,9 +54,9 @@
  * Interval between listings of the VMs while orders are left to be sent. The platform allows 60 listings a second over all of its
  * clients.
  */
-const pollIntervalMs = 300;
-/** The same while only the return of ordered VMs is awaited. Most new incarnations are detected earlier, by the polls of the workers. */
-const returnPollIntervalMs = 1_500;
+const listingIntervalMs = 300;
+/** Interval between listings while only the return of ordered VMs is awaited. Most new incarnations are detected earlier, by looks at the workers. */
+const returnListingIntervalMs = 1_500;
 /**
  * Time for which an ordered VM counts as down when the deadline is divided among the remaining VMs; it takes about 2 s. The value is
  * rounded up, since interrupted work costs less than a late wave.
@@ -84,9 +84,9 @@
     possiblyOrdered: "possiblyOrdered",
     /** The order was sent and may have been carried out. */
     ordered: "ordered",
-    /** The platform has confirmed that the maintenance began. */
+    /** The platform has confirmed that the upkeep began. */
     begun: "begun",
-    /** The VM has left the platform and needs no maintenance. */
+    /** The VM has left the platform and needs no upkeep. */
     gone: "gone",
 } as const;
 
@@ -111,7 +111,7 @@
     /** Local time at which this owner received the request. */
     readonly receivedAtMs: number;
     readonly vms: readonly VmProgress[];
-    /** State that the operator is shown; undefined before the first report. */
+    /** State that was last reported to the operator; undefined before the first report. */
     reportedState: WaveState | undefined;
     /** Number of begun VMs in the record that was stored last. */
     savedBegunCount: number;
@@ -122,7 +122,7 @@
 const isSettled = ({ phase }: VmProgress): boolean => phase === phases.begun || phase === phases.gone;
 
 /**
- * Starts to process maintenance waves.
+ * Starts to carry out upkeep waves.
  *
  * @example
  * const upkeep = startUpkeep({ clock, log, meter, port, holderId, fencingToken, workers, stop, onIncarnationEnded, staleOrderWindowMs: 0, rows });
@@ -195,7 +195,7 @@
         fenced: () => {
             closed = true;
         },
-        // The maintenance may begin or have begun: the VM counts as down, and the order is sent again.
+        // The upkeep may begin or have begun: the VM counts as down, and the order is sent again.
         refused: () => {},
         unknown: () => {},
     };
@@ -342,7 +342,7 @@
                 log.write("warn", "upkeepDelayed", { reason: failureOf(error).message });
             }
             const ordersLeft = [...open.values()].some(({ vms }) => !vms.every(isSettled));
-            await sleep(clock, ordersLeft ? pollIntervalMs : returnPollIntervalMs);
+            await sleep(clock, ordersLeft ? listingIntervalMs : returnListingIntervalMs);
         }
         running = false;
     };
--- a/packages/puffinarch/src/core/shard/urgency.ts
+++ b/packages/puffinarch/src/core/shard/urgency.ts
@@ -68,7 +68,7 @@
 };
 
 /** Computes the objective of an occurrence, and for each step the longest path of work from its start to the end. */
-const setCourse = (occurrence: ShardOccurrence, workers: ReadonlyMap<string, ShardWorker>): void => {
+const setTiming = (occurrence: ShardOccurrence, workers: ReadonlyMap<string, ShardWorker>): void => {
     const { steps, job } = occurrence;
     const { advice, stretch, targetRuntimeMs } = job.queue;
     const adviceMs = advice === undefined ? 0 : advice.decideMs + advisedWorkersInObjective * advice.eachMs;
@@ -108,7 +108,7 @@
 ): RankedStep => {
     const { occurrence, spec, number } = step;
     if (occurrence.timing === undefined && workers.size > 0) {
-        setCourse(occurrence, workers);
+        setTiming(occurrence, workers);
     }
     const { timing } = occurrence;
     if (timing === undefined || spec.longRunning || !Number.isFinite(timing.objectiveMs)) {
--- a/packages/puffinarch/src/core/shard/waveRows.ts
+++ b/packages/puffinarch/src/core/shard/waveRows.ts
@@ -1,6 +1,6 @@
 /**
- * Stores maintenance waves: which VMs have begun and which may have been ordered, for a successor, and the state that the operator is
- * shown.
+ * Stores upkeep waves: which VMs have begun and which may have been ordered, for a successor, and the state that is reported to the
+ * operator.
  */
 
 import { z } from "zod";
@@ -12,7 +12,7 @@
 import type { RowReader } from "./rowReader.js";
 import { ownerKey, ownerTable, upkeepTable } from "./shardTables.js";
 
-/** Dependencies of the rows of maintenance waves. */
+/** Dependencies of the rows of upkeep waves. */
 export interface WaveRowsOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -28,13 +28,13 @@
 
 /** What is stored of a wave for a successor. */
 export interface WaveRecord {
-    /** VMs whose maintenance the platform has confirmed to have begun. */
+    /** VMs whose upkeep the platform has confirmed to have begun. */
     readonly begun: ReadonlySet<string>;
     /** VMs for which an order may have been sent, each with the fencing token of the newest owner that may have sent it. */
     readonly ordered: ReadonlyMap<string, number>;
 }
 
-/** Reads and writes the rows of maintenance waves. */
+/** Reads and writes the rows of upkeep waves. */
 export interface WaveRows {
     /** Returns the records by wave number. */
     read(): Promise<ReadonlyMap<number, WaveRecord>>;
@@ -75,7 +75,7 @@
 const saveTimeoutMs = 600;
 
 /**
- * Creates the access to the rows of a shard's maintenance waves.
+ * Creates the access to the rows of a shard's upkeep waves.
  *
  * @example
  * const rows = createWaveRows({ clock, log, store, part, ownerVersion, stateRow, reader, isClosed });
@@ -111,8 +111,8 @@
 
     return {
         read: async () => {
-            const wanted = (): boolean => !isClosed();
-            const read = await readAllRows({ clock, log, store, table: upkeepTable, part, wanted });
+            const isNeeded = (): boolean => !isClosed();
+            const read = await readAllRows({ clock, log, store, table: upkeepTable, part, isNeeded });
             const records = new Map<number, WaveRecord>();
             for (const row of read?.rows ?? []) {
                 const stored = options.reader.entryOf(row, decodeRow(row, recordSchema));
--- a/packages/puffinarch/src/core/shard/workerLink.ts
+++ b/packages/puffinarch/src/core/shard/workerLink.ts
@@ -21,8 +21,8 @@
  * How much longer than its waiting time a look may take before it counts as unanswered. The time is doubled, up to the
  * maximum, while this daemon itself reads answers late; two looks at the maximum still fit into a lease of 5 s.
  */
-const minPatienceMs = 350;
-const maxPatienceMs = 1_400;
+const minAnswerTimeoutMs = 350;
+const maxAnswerTimeoutMs = 1_400;
 /** A look that times out later than this after its limit shows that this daemon's own processor is overloaded. */
 const ownDelayThresholdMs = 50;
 /** For this long after a worker's last answer, looks that time out by this daemon's own delay do not count against the worker. */
@@ -115,7 +115,7 @@
     let deliveredAcknowledgedEnd = 0;
     /** Local time of the newest answer, or of the first look before any answer. */
     let lastAnswerAtMs = clock.monotonicMs();
-    let answerTimeoutMs = minPatienceMs;
+    let answerTimeoutMs = minAnswerTimeoutMs;
     let endPause: (() => void) | undefined;
     /** Whether the next look must not wait. A look under way is abandoned then if it waits. */
     let lookWanted = false;
@@ -165,8 +165,8 @@
     };
 
     /**
-     * Whether a look counts as late through this daemon's own delay in reading answers; such a delay also raises the patience
-     * of later looks. Healthy workers must not count as silent for it: no leases would be renewed and nothing placed there,
+     * Whether a look counts as late through this daemon's own delay in reading answers; such a delay also doubles the answer
+     * timeout of later looks. Healthy workers must not count as silent for it: no leases would be renewed and nothing placed there,
      * and all that runs there would end.
      */
     const isOwnDelay = (sentAtMs: number, waitMs: number): boolean => {
@@ -174,7 +174,7 @@
         if (overdueMs <= ownDelayThresholdMs) {
             return false;
         }
-        answerTimeoutMs = Math.min(maxPatienceMs, 2 * answerTimeoutMs);
+        answerTimeoutMs = Math.min(maxAnswerTimeoutMs, 2 * answerTimeoutMs);
         return clock.monotonicMs() - lastAnswerAtMs <= ownDelayGraceMs;
     };
 
@@ -249,7 +249,7 @@
             worker.silentLooks = 0;
             worker.silentSinceMs = undefined;
             lastAnswerAtMs = nowMs;
-            answerTimeoutMs = nowMs - sentAtMs < waitMs + minPatienceMs ? minPatienceMs : answerTimeoutMs;
+            answerTimeoutMs = nowMs - sentAtMs < waitMs + minAnswerTimeoutMs ? minAnswerTimeoutMs : answerTimeoutMs;
             await options.onLook(worker, look, sentAtMs);
             return;
         }
--- a/packages/puffinarch/src/core/shard/workerTable.ts
+++ b/packages/puffinarch/src/core/shard/workerTable.ts
@@ -65,12 +65,12 @@
     readonly failedJobs: Set<string>;
     failuresInARow: number;
     /** Latest local time at which the start of a run that completed was sent. */
-    lastSoundSentAtMs: number;
+    lastCompletedSentAtMs: number;
     /** Local time of the first of the consecutive failures; meaningless while there are none. */
     failureStreakBeganAtMs: number;
     /**
-     * Local times at which the newest rest (a cooldown after failures) began and ends. During it only steps that may pass
-     * rests get work here.
+     * Local times at which the newest rest began and ends: a cooldown after failures, during which only tasks for which
+     * `mayUseRestingWorkers` holds are started here.
      */
     restBeganAtMs: number;
     restsUntilMs: number;
@@ -83,7 +83,7 @@
     unansweredOrder: DelayedStart | undefined;
     /** It gets no work at all, since its VM is about to be shut down. */
     cordoned: boolean;
-    /** Newest run here of a task on trial, which workers crashed under; other jobs start nothing beside it until it is at work. */
+    /** Newest run here of a task on trial, under which workers have crashed; no other job starts a run beside it until it is at work. */
     trial: ShardRun | undefined;
     /** A job that waits for this worker to become empty for a trial; only its tasks are started here until then. */
     trialHold: { readonly job: ShardJob; readonly untilMs: number; } | undefined;
@@ -120,7 +120,7 @@
     absentRuns: 0,
     failedJobs: new Set(),
     failuresInARow: 0,
-    lastSoundSentAtMs: -Infinity,
+    lastCompletedSentAtMs: -Infinity,
     failureStreakBeganAtMs: -Infinity,
     restBeganAtMs: -Infinity,
     restsUntilMs: 0,
@@ -163,9 +163,9 @@
  * every order that has no answer yet.
  *
  * @example
- * roomOf(worker).cpuMillis;
+ * freeCapacityOf(worker).cpuMillis;
  */
-export const roomOf = (worker: ShardWorker): Resources =>
+export const freeCapacityOf = (worker: ShardWorker): Resources =>
     subtract(worker.entry.capacity, worker.absentRuns === 0 ? worker.held : largest(worker.held, heldByNext(worker)));
 
 /**
@@ -192,7 +192,7 @@
  * if (!stillFits(worker, run)) { dropRun(worker, run); }
  */
 export const stillFits = (worker: ShardWorker, run: ShardRun): boolean =>
-    fitsWith(run.held, roomOf(worker)) && !isOverCap(jobOf(run).account, run.held);
+    fitsWith(run.held, freeCapacityOf(worker)) && !isOverCap(jobOf(run).account, run.held);
 
 const takeRoom = (worker: ShardWorker, { absent, held }: ShardRun): void => {
     if (absent) {
@@ -236,10 +236,10 @@
  * Reserves capacity for a run; returns false where it does not fit.
  *
  * @example
- * if (!holdRoom(worker, run)) { return; }
+ * if (!holdCapacity(worker, run)) { return; }
  */
-export const holdRoom = (worker: ShardWorker, run: ShardRun): boolean => {
-    if (!fits(run.held, roomOf(worker))) {
+export const holdCapacity = (worker: ShardWorker, run: ShardRun): boolean => {
+    if (!fits(run.held, freeCapacityOf(worker))) {
         return false;
     }
     takeRun(worker, run);
@@ -282,10 +282,10 @@
 };
 
 /**
- * Tells whether a worker is about to go down as planned, by draining or for upkeep; no run is blamed for that.
+ * Tells whether a worker is about to go down as planned, by draining or for upkeep; that is not counted as a crash.
  *
  * @example
- * hasLeft(worker); // false for one that serves
+ * isLeaving(worker); // false for a worker that goes on serving
  */
 export const isLeaving = ({ entry, cordoned }: ShardWorker): boolean => entry.draining || cordoned;
 
--- a/packages/puffinarch/src/core/shard/workerWatch.ts
+++ b/packages/puffinarch/src/core/shard/workerWatch.ts
@@ -17,7 +17,7 @@
     type ShardTask,
 } from "./jobModel.js";
 import { createMissingRuns, type MissingRunsOptions } from "./missingRuns.js";
-import { noteStartAnswered } from "./startBreaker.js";
+import { recordStartAnswered } from "./startBreaker.js";
 import { adoptRun, dropRun, isLeaving, runKey, setAbsent, type ShardWorker } from "./workerTable.js";
 
 /** What `createWorkerWatch` needs. */
@@ -56,7 +56,7 @@
 const stuckMs = 1_500;
 /**
  * How long a worker rests; disruptions of workers last some 4 to 7 s. Tasks may have to start sooner, and the failures may be
- * their own fault, so that a step that has waited long for resting workers may use them.
+ * their own fault, so that a step that has been blocked for long may use resting workers.
  */
 const restMs = 4_000;
 
@@ -93,7 +93,7 @@
         { jobId, how, sentAtMs }: { readonly jobId: string; readonly how: EndedRun["how"]; readonly sentAtMs: number; },
     ): void => {
         if (how === "done") {
-            worker.lastSoundSentAtMs = Math.max(worker.lastSoundSentAtMs, sentAtMs);
+            worker.lastCompletedSentAtMs = Math.max(worker.lastCompletedSentAtMs, sentAtMs);
         }
         // A run that was sent before the failures began does not show that the worker has recovered.
         if (how === "done" && (worker.failuresInARow === 0 || sentAtMs >= worker.failureStreakBeganAtMs)) {
@@ -242,7 +242,7 @@
             run.phase = runPhases.running;
             run.absenceProvenAfterMs = clock.monotonicMs();
             // The start was carried out and only its answer was late or lost, as from a slow worker.
-            noteStartAnswered(worker);
+            recordStartAnswered(worker);
         }
         if (row.checkpoint !== "") {
             run.task.checkpoint = row.checkpoint;
--- a/packages/puffinarch/src/plugins/placements.ts
+++ b/packages/puffinarch/src/plugins/placements.ts
@@ -12,7 +12,7 @@
     readonly random: Random;
     /** Number of workers that `randomOfK` draws. */
     readonly sampleSize: number;
-    /** Ids of workers that are chosen only where no other candidate has room; `firstFit` ignores them. */
+    /** Ids of workers that are chosen only where no other candidate has enough free resources; `firstFit` ignores them. */
     readonly avoid: ReadonlySet<string>;
 }
 
@@ -23,7 +23,7 @@
     readonly alternatives: number;
 }
 
-/** Selects one worker, or none where no worker has room. */
+/** Selects one worker, or none where no worker has enough free resources. */
 export type PlacementHandler = (input: PlacementInput) => PlacementChoice;
 
 /** Maximum number of candidates to compare, which bounds the cost of a placement in a large cluster. */
@@ -95,8 +95,8 @@
  * - `bestFit`: the worker that keeps the least free resources, which packs tasks tightly.
  * - `worstFit`: the worker that keeps the most free resources, which spreads tasks.
  * - `firstFit`: the first worker in the order of the ledger.
- * - `randomOfK`: the best fit among `sampleSize` random workers; `bestFit` where none of them has room.
- * - `gang`: the same as `bestFit`; tight packing leaves room for whole gangs.
+ * - `randomOfK`: the best fit among `sampleSize` random workers; `bestFit` where the task fits none of them.
+ * - `gang`: the same as `bestFit`; tight packing keeps workers free for whole gangs.
  *
  * @example
  * placements.bestFit({ ledger, size, random, sampleSize: 2, avoid: new Set() }).worker?.workerId;
--- a/packages/puffinarch/src/puffinarch.ts
+++ b/packages/puffinarch/src/puffinarch.ts
@@ -236,11 +236,20 @@
 export { createRunOrders, type RunOrders, type RunOrdersOptions } from "./internal.js";
 export { createMissingRuns, type MissingRuns, type MissingRunsOptions } from "./internal.js";
 export { holdsForOneIncarnation, mayArrive } from "./internal.js";
-export { allowsStart, noteStartAnswered, noteStartUnanswered } from "./internal.js";
+export { allowsStart, recordStartAnswered, recordStartUnanswered } from "./internal.js";
 export { createLookSlots, type LookSlots } from "./internal.js";
 export { openWorkerLink, type WorkerLink, type WorkerLinkOptions } from "./internal.js";
 export { watchWorkerList, type WorkerListOptions } from "./internal.js";
-export { adoptRun, extendLease, holdRoom, isOpen, newWorker, roomOf, type ShardWorker, stillFits } from "./internal.js";
+export {
+    adoptRun,
+    extendLease,
+    freeCapacityOf,
+    holdCapacity,
+    isOpen,
+    newWorker,
+    type ShardWorker,
+    stillFits,
+} from "./internal.js";
 export { createWorkerWatch, type WorkerWatch, type WorkerWatchOptions } from "./internal.js";
 export {
     type AdviceAnswer,
--- a/packages/puffinarch/src/types/cellPorts.ts
+++ b/packages/puffinarch/src/types/cellPorts.ts
@@ -170,7 +170,7 @@
     };
 
 /**
- * A look: a long poll of one worker. It raises the worker's fencing token, renews the leases of all its runs, acknowledges ends
+ * A look, which is a long poll of one worker: it raises the worker's fencing token, renews the leases of all its runs, acknowledges ends
  * and returns once a run ends or `waitMs` have passed.
  */
 export interface LookOrder {
--- a/packages/puffinarch/src/utils/rendezvous.ts
+++ b/packages/puffinarch/src/utils/rendezvous.ts
@@ -23,7 +23,7 @@
  * Returns the member with the highest hash together with the key; undefined where there are no members.
  *
  * @example
- * pick("home-1", ["a"]); // "a"
+ * pickMember("home-1", ["a"]); // "a"
  */
 export const pickMember = (key: string, members: readonly string[]): string | undefined => {
     let best: string | undefined;
--- a/packages/stand-ins/src/shard/shardCell.ts
+++ b/packages/stand-ins/src/shard/shardCell.ts
@@ -591,7 +591,7 @@
                 readWorker: surroundings.readWorker,
                 upkeep: {
                     port: vms.port,
-                    settleMs: checksVmTokens ? 0 : 15_000,
+                    staleOrderWindowMs: checksVmTokens ? 0 : 15_000,
                     readWave: row => row.key.startsWith("wave/") ? decodeRow(row, waveSchema) : noEntry,
                     stateRow: (wave, state) => ({ table: "status", part: "", key: `wave/${wave}`, value: state }),
                 },
