--- a/packages/puffinarch/src/core/shard/chooseWorker.ts
+++ b/packages/puffinarch/src/core/shard/chooseWorker.ts
@@ -4,13 +4,13 @@
 import type { Step } from "../../types/work.js";
 import { avoidedBy, failedRecently } from "./avoidance.js";
 import { mayUseRestingWorkers } from "./blockedSteps.js";
+import type { CapacityView } from "./capacityView.js";
 import { allowsAnotherRun, countRuns, isEligible, ticketFor } from "./eligible.js";
-import { reservedResources, type ShardStep, type ShardTask } from "./jobBook.js";
-import type { CapacityView } from "./roomView.js";
+import { reservedResources, type ShardStep, type ShardTask } from "./jobModel.js";
 import { allowsTrial, crashExposureOf, isBlockedByTrial, isSuspect } from "./trials.js";
 import { isOpen, type ShardWorker } from "./workerTable.js";
 
-/** Capacity of a worker, what of it a step may use, and what a task would hold. */
+/** Capacity of a worker, the part of it that a step may use now (`room`), and what a task would reserve (`held`). */
 interface Offer {
     readonly capacity: Resources;
     readonly room: Resources;
--- a/packages/puffinarch/src/core/shard/ownerWatch.ts
+++ b/packages/puffinarch/src/core/shard/ownerWatch.ts
@@ -7,10 +7,10 @@
 import type { Clock, Log } from "../../types/ports.js";
 import { type ErrorKind, failureOf } from "../../utils/errors.js";
 import { sleep } from "../../utils/time.js";
-import type { CommitMonitor } from "./commitWitness.js";
+import type { CommitMonitor } from "./commitMonitor.js";
 import { type Peers, pingIntervalMs, pingTimeoutMs } from "./peers.js";
 import { delayForRankMs, followerPauseMs, watcherCount } from "./probes.js";
-import { type ClaimReason, claimReasons, settlingMs, timeoutFactor } from "./shortOffices.js";
+import { type ClaimReason, claimReasons, settlingMs, timeoutFactor } from "./shortTenures.js";
 
 /** Dependencies and callbacks of an owner watch. */
 export interface OwnerWatchOptions {
@@ -450,9 +450,9 @@
     };
 
     /**
-     * Pings peers, and the owner as soon as a peer stops answering: both may be on the other side of a network partition. In a
-     * simulation with 18 of 97 daemons cut off, these then report that they are not ready after 0.5 to 0.8 s in place of 1.4 to
-     * 1.7 s.
+     * Pings peers, and the owner as soon as a peer stops answering: both may be on the other side of a network partition. With
+     * 18 of 97 daemons cut off, these report that they are not ready after 0.5 to 0.8 s; without this ping of the owner, after
+     * 1.4 to 1.7 s.
      */
     const pingPeers = (pinged: readonly MemberRow[]): void => {
         for (const peer of pinged) {
--- a/packages/puffinarch/src/core/shard/preempt.ts
+++ b/packages/puffinarch/src/core/shard/preempt.ts
@@ -1,8 +1,8 @@
 /** Selects the less urgent runs of a worker to be stopped, with their checkpoint, to free capacity for a more urgent task. */
 
 import { add, fits, type Resources } from "../../types/resources.js";
-import { runPhases, type ShardRun } from "./jobBook.js";
-import { isPreemptible } from "./roomView.js";
+import { isPreemptible } from "./capacityView.js";
+import { runPhases, type ShardRun } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /**
@@ -39,8 +39,9 @@
     runs.reduce((sum, run) => add(sum, run.held), room);
 
 /**
- * Chooses the runs of a worker to be stopped for a task: the smallest single run that suffices, else several by urgency and
- * size, none of them superfluous; undefined where stopping every preemptible run would not suffice.
+ * Chooses the runs of a worker to be stopped for a task that needs `need`, where the capacity `room` is free: the smallest single
+ * run that suffices, else several by urgency and size, none of them superfluous; undefined where stopping every preemptible run
+ * would not suffice.
  *
  * @example
  * const victims = chooseVictims(worker, { need, room, priority: 0 });
--- a/packages/puffinarch/src/core/shard/shardOwner.ts
+++ b/packages/puffinarch/src/core/shard/shardOwner.ts
@@ -26,7 +26,7 @@
 import { sleep } from "../../utils/time.js";
 import { createAcceptance } from "./acceptance.js";
 import { createAccounts } from "./accounts.js";
-import { createAdviceDispatcher } from "./adviceDesk.js";
+import { createAdviceDispatcher } from "./adviceDispatcher.js";
 import type { ClaimedShard } from "./claimShard.js";
 import { createCommitLog, type RowChange } from "./commitLog.js";
 import {
@@ -39,15 +39,15 @@
     runsOf,
     type ShardJob,
     type ShardRun,
-} from "./jobBook.js";
+} from "./jobModel.js";
 import { decodeEnded, encodeJob, type EndedJob, restoreJobs } from "./jobRows.js";
 import { createOwnerProgress } from "./ownerProgress.js";
-import { createTaskPlacer } from "./placing.js";
 import { readAllRows } from "./readRows.js";
 import { createRowReader } from "./rowReader.js";
 import type { ShardSettings } from "./shardSettings.js";
 import { endedTable } from "./shardTables.js";
 import { createShardWorkers } from "./shardWorkers.js";
+import { createTaskPlacer } from "./taskPlacer.js";
 import { createTaskReview } from "./taskReview.js";
 import { startUpkeep, type Upkeep } from "./upkeep.js";
 import { createWaveRows } from "./waveRows.js";
@@ -71,8 +71,8 @@
     readonly upkeep?: {
         readonly port: VmPort;
         readonly holderId: string;
-        /** How long a request sent by a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
-        readonly settleMs: number;
+        /** How long an upkeep order of a former owner may still arrive, in ms; 0 where the platform refuses lower fencing tokens. */
+        readonly staleOrderWindowMs: number;
         readonly stateRow: (wave: number, state: WaveState) => RowKey & { readonly value: string; };
     };
     /** Age in ms of the worker list or of the configuration, whichever is older; `Infinity` before both have been read. */
@@ -95,7 +95,7 @@
     updateConfiguration(configuration: CellConfiguration): void;
     /** Passes all listed workers, the ids of those whose entries cannot be read, and the age of the former list in ms. */
     updateWorkers(entries: readonly WorkerEntry[], unreadable: ReadonlySet<string>, formerAgeMs: number): void;
-    /** Passes all waves of upkeep that the operator has requested. */
+    /** Passes all upkeep waves that the operator has requested. */
     updateWaves(waves: readonly UpkeepWave[]): void;
     /** Schedules a pass over the waiting steps and the pending calls to the advisor. */
     wake(): void;
@@ -163,7 +163,7 @@
     let lagMs = 0;
     let tickDueMs = clock.monotonicMs() + tickMs;
     const startedAtMs = clock.monotonicMs();
-    /** Jobs that ended under earlier owners, by id. */
+    /** Jobs that ended under former owners, by id. */
     const endedEarlier = new Map<string, EndedJob>();
     let nextOrder = 1;
     let rejectWaiting: (error: Error) => void = () => {};
@@ -297,11 +297,11 @@
     /** Applies the consequences of a change of a job, and commits it. */
     const commitChange = (job: ShardJob): Promise<void> => {
         if (hasEnded(job)) {
-            placing.removeJob(job);
+            taskPlacer.removeJob(job);
         }
         else {
             job.state = job.started ? jobStates.running : jobStates.queued;
-            placing.updateJob(job);
+            taskPlacer.updateJob(job);
         }
         wake();
         return commit(job).then(() => {
@@ -365,7 +365,7 @@
         });
     };
 
-    const placing = createTaskPlacer({
+    const taskPlacer = createTaskPlacer({
         clock,
         log,
         meter,
@@ -377,7 +377,7 @@
         wake: () => wake(),
     });
 
-    const review = createTaskReview({ clock, log, meter, jobs, workers: workers.all, placing });
+    const review = createTaskReview({ clock, log, meter, jobs, workers: workers.all, taskPlacer });
 
     const wake = (): void => {
         if (passScheduled || closed) {
@@ -388,7 +388,7 @@
             passScheduled = false;
             if (!closed) {
                 const beganAtMs = clock.monotonicMs();
-                placing.runPass();
+                taskPlacer.runPass();
                 passMs = clock.monotonicMs() - beganAtMs;
             }
         });
@@ -407,7 +407,7 @@
                 }
                 if (!job.occurrences.has(number) && !job.doneOccurrences.has(number)) {
                     openOccurrence(job, number);
-                    placing.updateJob(job);
+                    taskPlacer.updateJob(job);
                     wake();
                 }
             }
@@ -415,7 +415,7 @@
     };
 
     const forgetExpiredJobs = (nowMs: number): void => {
-        // The retention of jobs that ended under earlier owners counts from this owner's start.
+        // The retention of jobs that ended under former owners counts from this owner's start.
         if (nowMs - startedAtMs > settings.retentionMs) {
             for (const jobId of endedEarlier.keys()) {
                 endedEarlier.delete(jobId);
@@ -476,10 +476,10 @@
         }
         if (ticks % reviewIntervalTicks === 0) {
             review.run();
-            progress.review(placing.waitingSteps());
+            progress.review(taskPlacer.waitingSteps());
             reviewAccounts();
         }
-        if (placing.activeSteps() > 0) {
+        if (taskPlacer.activeSteps() > 0) {
             wake();
         }
         adviceDesk.wake();
@@ -510,12 +510,12 @@
         workers.restoreRuns(restored.runs);
         workers.restoreLosses(restored.losses);
         for (const job of jobs.values()) {
-            placing.updateJob(job);
+            taskPlacer.updateJob(job);
         }
         log.write("info", "shardRestored", { part, fencingToken, jobs: jobs.size, runs: restored.runs.length });
     };
 
-    /** Reads the jobs that ended under earlier owners, by id with their states, while the other jobs are already being placed. */
+    /** Reads the jobs that ended under former owners, by id with their states, while the other jobs are already being placed. */
     const readEnded = async (): Promise<ReadonlyMap<string, EndedJob>> => {
         const read = await readAllRows({
             clock,
@@ -523,7 +523,7 @@
             store: options.store,
             table: endedTable,
             part,
-            wanted: () => !closed,
+            isNeeded: () => !closed,
         });
         for (const row of read?.rows ?? []) {
             const status = reader.entryOf(row, decodeEnded(row));
@@ -539,7 +539,7 @@
         if (options.upkeep === undefined) {
             return undefined;
         }
-        const { port, holderId, stateRow, settleMs: upkeepSettleMs } = options.upkeep;
+        const { port, holderId, stateRow, staleOrderWindowMs } = options.upkeep;
         const rows = createWaveRows({
             clock,
             log,
@@ -560,7 +560,7 @@
             workers: workers.all,
             stop: workers.stop,
             onIncarnationEnded: workerId => workers.endIncarnation(workerId, "upkeep"),
-            staleOrderWindowMs: upkeepSettleMs,
+            staleOrderWindowMs,
             rows,
         });
     };
@@ -583,11 +583,11 @@
         commits,
         commit,
         consider: job => {
-            placing.updateJob(job);
+            taskPlacer.updateJob(job);
             wake();
         },
         dropPlannedStarts: job => {
-            placing.removeJob(job);
+            taskPlacer.removeJob(job);
             for (const run of [...runsOf(job)]) {
                 workers.stop(run);
             }
--- a/packages/puffinarch/src/core/shard/urgency.ts
+++ b/packages/puffinarch/src/core/shard/urgency.ts
@@ -4,7 +4,7 @@
 import type { Resources } from "../../types/resources.js";
 import { newAccount, tasksUnderCap } from "./accounts.js";
 import { isEligible } from "./eligible.js";
-import { reservedResources, type ShardOccurrence, type ShardStep } from "./jobBook.js";
+import { reservedResources, type ShardOccurrence, type ShardStep } from "./jobModel.js";
 import type { ShardWorker } from "./workerTable.js";
 
 /** Whether the job of a step can still end in time to be of value to its caller. */
@@ -68,7 +68,7 @@
 };
 
 /** Computes the objective of an occurrence, and for each step the longest path of work from its start to the end. */
-const setCourse = (occurrence: ShardOccurrence, workers: ReadonlyMap<string, ShardWorker>): void => {
+const setTiming = (occurrence: ShardOccurrence, workers: ReadonlyMap<string, ShardWorker>): void => {
     const { steps, job } = occurrence;
     const { advice, stretch, targetRuntimeMs } = job.queue;
     const adviceMs = advice === undefined ? 0 : advice.decideMs + advisedWorkersInObjective * advice.eachMs;
@@ -108,7 +108,7 @@
 ): RankedStep => {
     const { occurrence, spec, number } = step;
     if (occurrence.timing === undefined && workers.size > 0) {
-        setCourse(occurrence, workers);
+        setTiming(occurrence, workers);
     }
     const { timing } = occurrence;
     if (timing === undefined || spec.longRunning || !Number.isFinite(timing.objectiveMs)) {
