--- a/features/steps/examples/shardIncarnations.ts
+++ b/features/steps/examples/shardIncarnations.ts
@@ -159,7 +159,7 @@
     const clock = createFakeClock();
     const former = { ...openWorker(), bornAtMs: 500 };
     const job = exampleJob();
-    const [shown, unshown] = [runOf(job), { ...runOf(job), run: 2, shown: false }];
+    const [shown, unshown] = [runOf(job), { ...runOf(job), run: 2, wasListed: false }];
     adoptRun(former, shown);
     adoptRun(former, unshown);
     const delayed = createDelayedStarts(clock);
--- a/features/steps/tokenSteps.ts
+++ b/features/steps/tokenSteps.ts
@@ -326,7 +326,7 @@
     async function(this: ScenarioWorld, downMs: number) {
         const clock = createFakeClock();
         const worker = newWorker(workerEntry("i-1", 1), 0);
-        Object.assign(runOn(worker), { phase: runPhases.running, settledAtMs: 0 });
+        Object.assign(runOn(worker), { phase: runPhases.running, absenceProvenAfterMs: 0 });
         const link = openLink(this, {
             clock,
             worker,
