--- a/features/exploration.feature
+++ b/features/exploration.feature
@@ -1,4 +1,4 @@
-Feature: Exploration of orders of faults
+Feature: Random orders of faults, by seed
 
     Scenario Outline: Schedules <first> to <last>
         When the schedules <first> to <last> are explored
@@ -27,7 +27,7 @@
             | cutWithBacklog | 426   | 426  |
             | endInOutage    | 1     | 6    |
 
-    Scenario Outline: A part that is broken on purpose is found: <part>
+    Scenario Outline: The checks find a part of a node that is broken on purpose: <part>
         When schedules from <first> on are explored with the scene "<scene>" and the part "<part>" broken
         Then a broken promise is found within 60 schedules
 
@@ -41,8 +41,8 @@
             | noTakeoverWait        | endMidStart    | 60    |
             | startsNeverVoid       | endMidStart    | 8     |
 
-    Scenario Outline: On a shard with jobs that last no task stands that has room, seed <seed>
-        When the seed <seed> is explored on a shard with jobs that last
+    Scenario Outline: No task stalls beside free room on a shard with long-running jobs, seed <seed>
+        When the seed <seed> is explored on a shard with long-running jobs
         Then nothing went wrong on the shard
 
         Examples:
@@ -52,7 +52,7 @@
             | 3    |
             | 4    |
 
-    # Organisations had more running than their caps, which the scheduler of a shard did not know.
+    # Guards against organisations that have more running than their caps allow.
     Scenario Outline: Organisations keep to caps that change, among workers that <what>, seed <seed>
         When the seed <seed> is explored on a shard with organisations, among workers that <what>
         Then nothing went wrong on the shard
@@ -68,8 +68,9 @@
             | shrink and grow             | 6    |
             | crash under their tasks     | 30247 |
 
-    # Jobs that could never be done were started on and on, and sound ones given up for what ran beside them.
-    Scenario Outline: Tasks that crash their workers are given up and no others, among jobs that <others>, seed <seed>
+    # Guards against two faults: jobs that crash every worker were started without end, and sound jobs were given up because of
+    # crashes that a task beside them on the same worker caused.
+    Scenario Outline: Only tasks that crash their workers are given up, among jobs that <others>, seed <seed>
         When the seed <seed> is explored on a shard with jobs that crash their workers, among jobs that <others>
         Then nothing went wrong on the shard
 
@@ -91,8 +92,8 @@
             | 261  | end  |
             | 309  | end  |
 
-    # Their leases are over before anyone can know that they crashed.
-    Scenario Outline: Crashed workers that are away for longer than their leases, seed <seed>
+    # The leases of these workers run out before the owner can find out that they crashed.
+    Scenario Outline: Crashed workers that stay down for longer than their leases, seed <seed>
         When the seed <seed> is explored on a shard with jobs that crash their workers for 7000 ms
         Then nothing went wrong on the shard
 
@@ -102,8 +103,8 @@
             | 11   |
             | 39   |
 
-    # A worker that started again under its ID was taken for the one before: crashes were not counted, ends passed over.
-    Scenario Outline: Workers that start again under their IDs after <ms> ms, with jobs that <others>, seed <seed>
+    # Guards against taking a restarted worker for its former incarnation: crashes were not counted and ends of runs were ignored.
+    Scenario Outline: Workers that restart under their IDs after <ms> ms, with jobs that <others>, seed <seed>
         When the seed <seed> is explored on a shard whose workers start again under their IDs after <ms> ms, with jobs that <others>
         Then nothing went wrong on the shard
 
@@ -122,8 +123,9 @@
             | 693  | 600  | last   |
             | 1079 | 600  | last   |
 
-    # A start without an answer was carried out by the next life of its worker, which knew neither the stop nor the token that the
-    # life before would have refused it by: tasks ran twice, and workers held more than they have.
+    # Guards against tasks that run twice and workers that hold more than their capacity. A start order that got no answer was
+    # carried out by the worker's next incarnation, which had received neither the stop nor the fencing token by which the former
+    # incarnation would have refused the order.
     Scenario Outline: Orders reach a worker that has started again after <ms> ms, with jobs that <others>, seed <seed>
         When the seed <seed> is explored on a shard whose workers start again under their IDs after <ms> ms, with jobs that <others>
         Then nothing went wrong on the shard
@@ -146,8 +148,9 @@
             | 292  | 600 | last   |
             | 1082 | 50  | end    |
 
-    # Copies of one order, late, each met a life that nobody had spoken to yet, or that looks had reached and refusals had not.
-    Scenario Outline: Orders reach lives of a worker that their owner has not met, down for <ms> ms, seed <seed>
+    # Delayed copies of one order reach incarnations that the owner has not called yet, or that its looks have reached but its
+    # stop orders have not.
+    Scenario Outline: Delayed orders reach incarnations that the owner has not called yet, down for <ms> ms, seed <seed>
         When the seed <seed> is explored on a shard whose workers start again under their IDs after <ms> ms, with jobs that <others>
         Then nothing went wrong on the shard
 
@@ -158,9 +161,9 @@
             | 99   | 600 | last   |
             | 287  | 600 | last   |
 
-    # What is left: no look can come before an order that comes 10 ms after a life began, that comes while no owner is at work, or
-    # while the worker answers no look.
-    Scenario Outline: Orders reach lives of a worker that no look can have reached, down for <ms> ms, seed <seed>
+    # No look can reach an incarnation before an order that arrives 10 ms after its start, while no owner is at work, or while the
+    # worker answers no look.
+    Scenario Outline: Delayed orders reach incarnations before any look can, down for <ms> ms, seed <seed>
         When the seed <seed> is explored on a shard whose workers start again under their IDs after <ms> ms, with jobs that <others>
         Then nothing went wrong on the shard
 
@@ -172,8 +175,8 @@
             | 20333 | 600 | last   |
             | 20968 | 50  | end    |
 
-    # One order each, carried out by an incarnation behind a cut, or while all daemons were down.
-    Scenario Outline: A task is started again after its end was acknowledged, workers down for <ms> ms, seed <seed>
+    # In each of these seeds one order is carried out by an incarnation behind a cut link, or while all daemons are down.
+    Scenario Outline: A delayed order starts a task again after its end was acknowledged, workers down for <ms> ms, seed <seed>
         When the seed <seed> is explored on a shard whose workers start again under their IDs after <ms> ms, with jobs that <others>
         Then nothing went wrong on the shard
 
@@ -185,9 +188,9 @@
             | 7475  | 50 | end    |
             | 7494  | 50 | end    |
 
-    # The faults that leave orders under way to workers that start again, three at once: one seed in four ran tasks twice, as a look at
-    # one incarnation was taken for proof that no other would carry an order out.
-    Scenario Outline: Late orders among crashes, cuts and kills, workers down for <ms> ms, seeds <first> to <last>
+    # Only faults that delay orders to workers which then restart, three at a time. One seed in four ran tasks twice, because a look
+    # at one incarnation was taken as proof that no other incarnation would carry out an order.
+    Scenario Outline: Delayed orders during crashes, cuts and kills, workers down for <ms> ms, seeds <first> to <last>
         When the seeds <first> to <last> are explored on a shard with orders under way to workers that start again after <ms> ms, with jobs that <others>
         Then nothing went wrong on the shard
 
@@ -206,8 +209,8 @@
             | 85110 | 85110 | 600 | last   |
             | 85169 | 85169 | 600 | last   |
 
-    # Starts without an answer kept the room and the turn of tasks that had nothing to do with them.
-    Scenario Outline: Late orders beside suspended daemons and workers that fail everything, workers down for <ms> ms, seed <seed>
+    # Guards against start orders without an answer that reserve room and delay the turn of unrelated tasks.
+    Scenario Outline: Delayed orders with suspended daemons and workers that fail all runs, workers down for <ms> ms, seed <seed>
         When the seed <seed> is explored on a shard with orders under way to workers that start again after <ms> ms, with suspended daemons and workers that fail everything
         Then nothing went wrong on the shard
 
@@ -216,9 +219,9 @@
             | 83091 | 50 |
             | 84061 | 50 |
 
-    # Workers that do not guard their capacity were started on with room that they had no more: what had been planned while they
-    # were larger was sent all the same, after the store had been away or once a silent worker answered again.
-    Scenario Outline: No start brings a worker over a capacity that has shrunk, with tasks that are <size>, seed <seed>
+    # Workers do not check starts against their capacity. Starts that had been planned while a worker was larger were sent after it
+    # had shrunk: once the store was back after an outage, or once a silent worker answered again.
+    Scenario Outline: No start exceeds the capacity of a worker that has shrunk, with tasks that are <size>, seed <seed>
         When the seed <seed> is explored on a shard whose workers shrink, with tasks that are <size>
         Then nothing went wrong on the shard
 
@@ -231,8 +234,8 @@
             | 182  | large |
             | 192  | large |
 
-    # Several workers fail everything for 4 to 7 s, others are full for good or shrunk, and jobs fail by themselves.
-    Scenario Outline: No job stands beside room for it where many runs fail, among jobs that <others>, seed <seed>
+    # Several workers fail all runs for 4 to 7 s, others are full for good or have shrunk, and some jobs always fail.
+    Scenario Outline: No job stalls beside free room when many runs fail, among jobs that <others>, seed <seed>
         When the seed <seed> is explored on a shard whose workers fail everything at times, among jobs that <others>
         Then nothing went wrong on the shard
 
@@ -248,7 +251,8 @@
             | 5    | last   |
             | 7092 | last   |
 
-    Scenario Outline: VMs of daemons are suspended, which their steady clocks do not count, seed <seed>
+    # The monotonic clock of a suspended VM stands still.
+    Scenario Outline: Daemons whose VMs are suspended, seed <seed>
         When the seed <seed> is explored on a shard whose daemons' VMs are suspended
         Then nothing went wrong on the shard
 
@@ -262,13 +266,13 @@
             | 6    |
             | 30   |
 
-    Scenario: Suspended daemons start nothing on a list of workers from before, seed 1029
-        When the seed 1029 is explored with jobs that last and crash, workers that shrink and VMs that are suspended
+    Scenario: Resumed daemons start nothing by a worker list from before their suspension, seed 1029
+        When the seed 1029 is explored with long-running and crashing jobs, workers that shrink and VMs that are suspended
         Then nothing went wrong on the shard
 
-    Scenario Outline: A part of a shard's surroundings that is broken on purpose is found: <part>
+    Scenario Outline: The checks find a dependency of a shard that is broken on purpose: <part>
         When seeds from <first> on are explored on a shard with the part "<part>" broken
-        Then a task that stands is found within 20 seeds
+        Then a stalled task is found within 20 seeds
 
         Examples:
             | part          | first |
--- a/features/steps/explorationSteps.ts
+++ b/features/steps/explorationSteps.ts
@@ -1,3 +1,5 @@
+/** Steps that run random, seeded orders of faults on cells and on shards, and check that every promise holds. */
+
 import { Then, When } from "@cucumber/cucumber";
 import {
     type BrokenPart,
@@ -13,7 +15,9 @@
 
 interface ExplorationPart {
     readonly results: Exploration[];
+    /** What went wrong for the seeds that were run on a shard, and which part is broken on purpose, from which seed on. */
     readonly shard: { wrong: readonly string[] | undefined; broken: BrokenShardPart | undefined; first: number; };
+    /** The schedules in which a broken promise is searched: the part that is broken, the scene and the first seed. */
     readonly search: { part: BrokenPart | undefined; scene: Scene | undefined; first: number; };
 }
 
@@ -31,7 +35,7 @@
         }),
     );
 
-const show = ({ seed, broken, steps }: Exploration): string =>
+const formatResult = ({ seed, broken, steps }: Exploration): string =>
     `seed ${seed}: ${broken.join("; ")}\n${steps.join("\n")}`;
 
 When("the schedules {int} to {int} are explored", async function(this: ScenarioWorld, first: number, last: number) {
@@ -44,7 +48,7 @@
 Then("every promise holds in each of them", function(this: ScenarioWorld) {
     const { results } = part(this);
     assert.ok(results.some(result => result.tasksAccepted > 0));
-    assert.deepEqual(results.filter(result => result.broken.length > 0).map(show), []);
+    assert.deepEqual(results.filter(result => result.broken.length > 0).map(formatResult), []);
 });
 
 When(
@@ -72,11 +76,11 @@
             return;
         }
     }
-    assert.fail(`${broken} was not found within ${most} schedules from ${first} on`);
+    assert.fail(`no promise broke within ${most} schedules from ${first} on, with the part ${broken} broken`);
 });
 
-/** What else is wrong where organisations have caps, by its words in a row. */
-const mixesWithCaps: Readonly<Record<string, Parameters<typeof exploreShardSeed>[1]>> = {
+/** Faults that are combined with caps of organisations, by their names in the table of examples. */
+const faultsWithCaps: Readonly<Record<string, Parameters<typeof exploreShardSeed>[1]>> = {
     serve: {},
     "start again under their IDs": { keepsIds: true, crashedDownMs: 600 },
     fail: { failing: true },
@@ -87,13 +91,13 @@
 When(
     "the seed {int} is explored on a shard with organisations, among workers that {}",
     async function(this: ScenarioWorld, seed: number, what: string) {
-        assert.ok(what in mixesWithCaps, what);
-        part(this).shard.wrong = await exploreShardSeed(seed, { capped: true, ...mixesWithCaps[what] });
+        assert.ok(what in faultsWithCaps, what);
+        part(this).shard.wrong = await exploreShardSeed(seed, { capped: true, ...faultsWithCaps[what] });
     },
 );
 
 When(
-    "the seed {int} is explored on a shard with jobs that last",
+    "the seed {int} is explored on a shard with long-running jobs",
     async function(this: ScenarioWorld, seed: number) {
         part(this).shard.wrong = await exploreShardSeed(seed, { lasting: true });
     },
@@ -122,7 +126,7 @@
 );
 
 When(
-    "the seed {int} is explored with jobs that last and crash, workers that shrink and VMs that are suspended",
+    "the seed {int} is explored with long-running and crashing jobs, workers that shrink and VMs that are suspended",
     async function(this: ScenarioWorld, seed: number) {
         part(this).shard.wrong = await exploreShardSeed(seed, {
             lasting: true,
@@ -202,7 +206,7 @@
     },
 );
 
-Then("a task that stands is found within {int} seeds", async function(this: ScenarioWorld, most: number) {
+Then("a stalled task is found within {int} seeds", async function(this: ScenarioWorld, most: number) {
     const { broken, first } = part(this).shard;
     for (let seed = first; seed < first + most; seed += 1) {
         const wrong = await exploreShardSeed(seed, { lasting: true, broken });
@@ -210,5 +214,5 @@
             return;
         }
     }
-    assert.fail(`${broken} was not found within ${most} seeds from ${first} on`);
+    assert.fail(`no task stalled within ${most} seeds from ${first} on, with the part ${broken} broken`);
 });
--- a/features/steps/failedTaskSteps.ts
+++ b/features/steps/failedTaskSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about tasks whose runs have failed, and about which workers they avoid afterwards. */
+
 import { Given, Then, When } from "@cucumber/cucumber";
 import { jobIdOf, plainStep, readSteps, type ShardCell, testQueue, workerEntry } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
@@ -16,18 +18,19 @@
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
-    /** The worker that has no room for the job. */
+    /** The worker without room for the job; empty if all have room. */
     third: string;
+    /** Number of workers that the task avoids. */
     avoided: number;
 }
 
-/** Ids of the job that a scene looks at, and of one that fills a worker, so that they are told from those of all others. */
+/** Ids of the job under test and of the job that fills a worker; no other job has such a number. */
 const jobId = jobIdOf(6_001);
 const fillingId = jobIdOf(6_002);
-const lookMs = 50;
-/** All runs, calls for advice and waits of a scene are over by then. */
+const tickMs = 50;
+/** Bound on each wait; all runs and calls to the advisor of a scenario are over by then. */
 const limitMs = 60_000;
-/** A run that was at work for so long does not fail at once. */
+/** A run that has lasted for longer than this has not failed at its start. */
 const atWorkMs = 300;
 const capacity = { cpuMillis: 8_000, memoryMib: 16_000, accelerators: 0 };
 const shrunkShare = 0.2;
@@ -36,14 +39,14 @@
 
 const runsOf = (cell: ShardCell) => cell.workers.evidence.filter(({ taskName }) => taskName.startsWith(`${jobId}.`));
 
-/** Moves time in small steps until a condition holds; tells whether it does in the end. */
+/** Advances the clock in small steps until a condition holds; false if it does not hold within `limitMs`. */
 const waitFor = async (cell: ShardCell, holds: () => boolean | Promise<boolean>): Promise<boolean> => {
     const endsAtMs = cell.clock.monotonicMs() + limitMs;
     while (cell.clock.monotonicMs() < endsAtMs) {
         if (await holds()) {
             return true;
         }
-        await cell.clock.advance(lookMs);
+        await cell.clock.advance(tickMs);
     }
     return false;
 };
@@ -64,8 +67,8 @@
     },
 );
 
-/** Each makes one of the workers such that nothing else finds room there for as long as a scene lasts; gives its id. */
-const thirdWorkers: Readonly<Record<string, (cell: ShardCell) => Promise<string>>> = {
+/** Ways to leave one worker without room for the whole scenario; each returns the worker's id, "" if all stay free. */
+const thirdWorkerSetups: Readonly<Record<string, (cell: ShardCell) => Promise<string>>> = {
     free: async () => "",
     full: async cell => {
         cell.submit(fillingId, readSteps("1 long running of 8 cores"));
@@ -84,7 +87,7 @@
     async function(this: ScenarioWorld, members: string, how: string) {
         await startCell(this, { members: Number(members), workers: 3, seed: 1, capacity, breaksGangs: true });
         const cell = cellOf(this);
-        part(this).third = await thirdWorkers[how]?.(cell) ?? assert.fail(`no such worker: ${how}`);
+        part(this).third = await thirdWorkerSetups[how]?.(cell) ?? assert.fail(`no such worker: ${how}`);
         await cell.clock.advance(2_000);
     },
 );
@@ -97,51 +100,58 @@
     /^the job of steps "([^"]*)" is submitted, and 2 workers fail everything until it has failed (\d+) times?$/,
     async function(this: ScenarioWorld, steps: string, times: string) {
         const cell = cellOf(this);
-        const hit = cell.workers.workerIds().filter(workerId => workerId !== part(this).third).slice(0, 2);
-        for (const workerId of hit) {
+        const failingWorkers = cell.workers.workerIds().filter(workerId => workerId !== part(this).third).slice(0, 2);
+        for (const workerId of failingWorkers) {
             cell.workers.setFault(workerId, "failing");
         }
         cell.submit(jobId, readSteps(steps));
         const failures = (): number =>
             new Set(runsOf(cell).filter(({ how }) => how === runEnds.failed).map(({ run }) => run)).size;
         assert.ok(await waitFor(cell, () => failures() === Number(times)), `it has failed ${failures()} times`);
-        for (const workerId of hit) {
+        for (const workerId of failingWorkers) {
             cell.workers.setFault(workerId, "none");
         }
     },
 );
 
-/** How long nothing of the job ran between each run, all members of a gang being one, and the next one or now. */
-const gapsOf = (cell: ShardCell, hasEnded: boolean): readonly number[] => {
+/**
+ * Time in milliseconds without any task of the job running, after each of its runs until the next one. The members of a gang
+ * count as one run. The time since the last run counts too unless the awaited state was reached.
+ */
+const gapsOf = (cell: ShardCell, isReached: boolean): readonly number[] => {
     const spans = new Map<number, { startMs: number; endMs: number; }>();
     for (const { run, startedAtMs, endedAtMs = Infinity } of runsOf(cell)) {
         const { startMs = Infinity, endMs = 0 } = spans.get(run) ?? {};
         spans.set(run, { startMs: Math.min(startMs, startedAtMs), endMs: Math.max(endMs, endedAtMs) });
     }
-    const inTurn = [...spans.values()].sort((left, right) => left.startMs - right.startMs);
-    const starts = [...inTurn.slice(1).map(({ startMs }) => startMs), ...hasEnded ? [] : [cell.clock.monotonicMs()]];
-    return starts.map((startMs, index) => Math.max(0, Math.round(startMs - (inTurn[index]?.endMs ?? 0))));
+    const inOrder = [...spans.values()].sort((left, right) => left.startMs - right.startMs);
+    const starts = [...inOrder.slice(1).map(({ startMs }) => startMs), ...isReached ? [] : [cell.clock.monotonicMs()]];
+    return starts.map((startMs, index) => Math.max(0, Math.round(startMs - (inOrder[index]?.endMs ?? 0))));
 };
 
-const assertGaps = (world: ScenarioWorld, hasEnded: boolean, mostMs: number): void => {
-    const gaps = gapsOf(cellOf(world), hasEnded);
-    assert.deepEqual(gaps.filter(gapMs => gapMs > mostMs), [], `nothing ran for ${gaps.join(", ")} ms after its runs`);
+const assertGaps = (world: ScenarioWorld, isReached: boolean, mostMs: number): void => {
+    const gaps = gapsOf(cellOf(world), isReached);
+    assert.deepEqual(
+        gaps.filter(gapMs => gapMs > mostMs),
+        [],
+        `the job was idle for ${gaps.join(", ")} ms after its runs`,
+    );
     assert.deepEqual(cellOf(world).breaches(), []);
 };
 
 Then(
-    "nothing of the job runs for {int} ms at the most after each of its runs, until it is {string}",
+    "the job is idle for at most {int} ms after each of its runs, until it is {string}",
     async function(this: ScenarioWorld, mostMs: number, state: string) {
         const cell = cellOf(this);
         const stateNow = async (): Promise<string | undefined> => (await cell.statesOf([jobId])).get(jobId);
         const reached = await waitFor(cell, async () => await stateNow() === state);
         assertGaps(this, reached, mostMs);
-        assert.ok(reached, `it is ${await stateNow()}`);
+        assert.ok(reached, `the job is ${await stateNow()}`);
     },
 );
 
 Then(
-    "nothing of the job runs for {int} ms at the most after each of its runs, until it is at work",
+    "the job is idle for at most {int} ms after each of its runs, until it is at work",
     async function(this: ScenarioWorld, mostMs: number) {
         const cell = cellOf(this);
         const isAtWork = (): boolean =>
@@ -150,7 +160,7 @@
             );
         const reached = await waitFor(cell, isAtWork);
         assertGaps(this, reached, mostMs);
-        assert.ok(reached, "nothing of it is at work");
+        assert.ok(reached, "no run of the job is at work");
     },
 );
 
@@ -198,14 +208,14 @@
     },
 );
 
-Then("it keeps off {int} worker(s)", function(this: ScenarioWorld, count: number) {
+Then("it avoids {int} worker(s)", function(this: ScenarioWorld, count: number) {
     assert.equal(part(this).avoided, count);
 });
 
 Then("the job has completed within {int} ms", async function(this: ScenarioWorld, limitMs: number) {
     const cell = cellOf(this);
     const isDone = async (): Promise<boolean> => (await cell.statesOf([jobId])).get(jobId) === "completed";
-    assert.ok(await cell.until(isDone, limitMs), "it has not");
+    assert.ok(await cell.until(isDone, limitMs), "the job has not completed");
 });
 
 Then("no run ended as {string}", function(this: ScenarioWorld, how: string) {
--- a/features/steps/restSteps.ts
+++ b/features/steps/restSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about rests: the time during which a worker gets no starts because its runs fail. */
+
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
     createFakeClock,
@@ -31,16 +33,19 @@
     readonly clock: FakeClock;
     readonly worker: () => ShardWorker;
     readonly start: () => void;
+    /** When a look first listed the failures. */
     failedAtMs: number | undefined;
+    /** Whether the worker has refused the start. */
     refused: boolean;
 }
 
-const part = (world: ScenarioWorld): Part => partOf<Part>(world, "rests", () => assert.fail("there is no worker"));
+const part = (world: ScenarioWorld): Part =>
+    partOf<Part>(world, "rests", () => assert.fail("the scenario has no worker"));
 
-const lookMs = 100;
-/** The job that waits, and the first of those that pass it. */
-const waitingId = 1;
-const firstOtherId = 2;
+const sampleMs = 100;
+/** Number of the job whose wait is measured, and of the first of the jobs that run before it. */
+const waitingNumber = 1;
+const firstOtherNumber = 2;
 
 Given(
     "a cell of {int} daemons and {int} workers where every run fails, with calls to the advisor of {int} ms that allow {int}, seed {int}",
@@ -65,21 +70,21 @@
     },
 );
 
-/** The task that has stood for longest without a break, by looks at the cell, and for how long. */
-const longestStand = async (
+/** The task that was stalled for longest without a break, sampled every `sampleMs`, and for how long. */
+const longestStall = async (
     cell: ShardCell,
     forMs: number,
 ): Promise<{ readonly name: string; readonly ms: number; }> => {
     const since = new Map<string, number>();
     let longest = { name: "", ms: 0 };
-    for (let passedMs = 0; passedMs < forMs; passedMs += lookMs) {
-        await cell.clock.advance(lookMs);
+    for (let passedMs = 0; passedMs < forMs; passedMs += sampleMs) {
+        await cell.clock.advance(sampleMs);
         const nowMs = cell.clock.monotonicMs();
-        const standing = new Set(cell.standing());
-        for (const name of [...since.keys()].filter(each => !standing.has(each))) {
+        const stalled = new Set(cell.standing());
+        for (const name of [...since.keys()].filter(each => !stalled.has(each))) {
             since.delete(name);
         }
-        for (const name of standing) {
+        for (const name of stalled) {
             const sinceMs = since.get(name) ?? nowMs;
             since.set(name, sinceMs);
             if (nowMs - sinceMs > longest.ms) {
@@ -103,13 +108,13 @@
     ) {
         const cell = cellOf(this);
         for (let index = 0; index < before; index += 1) {
-            cell.submit(jobIdOf(firstOtherId + index), readSteps(steps));
+            cell.submit(jobIdOf(firstOtherNumber + index), readSteps(steps));
             await cell.clock.advance(apartMs);
         }
-        cell.submit(jobIdOf(waitingId), readSteps(waitingSteps));
+        cell.submit(jobIdOf(waitingNumber), readSteps(waitingSteps));
         for (let index = before; index < before + after; index += 1) {
             cell.clock.setTimer((1 + index - before) * laterApartMs, () => {
-                cell.submit(jobIdOf(firstOtherId + index), readSteps(steps));
+                cell.submit(jobIdOf(firstOtherNumber + index), readSteps(steps));
             });
         }
     },
@@ -120,26 +125,26 @@
     async function(this: ScenarioWorld, _steps: string, limitMs: number) {
         const { workers, until } = cellOf(this);
         const isAtWork = (): boolean =>
-            workers.evidence.some(({ taskName }) => taskName.startsWith(`${jobIdOf(waitingId)}.`));
-        assert.ok(await until(isAtWork, limitMs), "it is not");
+            workers.evidence.some(({ taskName }) => taskName.startsWith(`${jobIdOf(waitingNumber)}.`));
+        assert.ok(await until(isAtWork, limitMs), "the job is not at work");
     },
 );
 
 Then(
-    "no task stands for {int} ms with room for it, for {int} ms",
+    "no task stalls for {int} ms beside free room, over {int} ms",
     async function(this: ScenarioWorld, limitMs: number, forMs: number) {
-        const { name, ms } = await longestStand(cellOf(this), forMs);
-        assert.ok(ms < limitMs, `${name} stood for ${ms} ms`);
+        const { name, ms } = await longestStall(cellOf(this), forMs);
+        assert.ok(ms < limitMs, `${name} stalled for ${ms} ms`);
     },
 );
 
-Then("workers have rested {int} times at least", function(this: ScenarioWorld, least: number) {
+Then("workers have rested at least {int} times", function(this: ScenarioWorld, least: number) {
     const rests = cellOf(this).log.filter(line => line.event === "workerRests").length;
-    assert.ok(rests >= least, `${rests} times`);
+    assert.ok(rests >= least, `workers have rested ${rests} times`);
 });
 
 const workerId = "i-1";
-const failuresShown = 4;
+const tasksPerJob = 4;
 
 Given(
     "a worker whose runs of 2 jobs fail while it is sent a start that it refuses after {int} ms",
@@ -153,7 +158,7 @@
                 queueKey: testQueue.key,
                 dataCentre: "leon-feria",
                 payload: "plan",
-                steps: [{ ...plainStep, count: failuresShown }],
+                steps: [{ ...plainStep, count: tasksPerJob }],
                 schedule: { startAtMs: 0, intervalMs: 0, repeatCount: 0 },
             };
             jobs.set(jobId, newJob(submission, testQueue, { acceptedAtMs: 0, order: number }));
@@ -185,7 +190,7 @@
                 pace: async () => "done",
                 look: async () => {
                     looks += 1;
-                    await sleep(clock, lookMs);
+                    await sleep(clock, sampleMs);
                     const ended = sent ? ends : [];
                     if (sent) {
                         part(this).failedAtMs ??= clock.monotonicMs();
@@ -220,10 +225,10 @@
     "the worker's looks have shown the failures, and the start is refused",
     async function(this: ScenarioWorld) {
         const { clock, start } = part(this);
-        await clock.advance(10 * lookMs);
+        await clock.advance(10 * sampleMs);
         start();
         while (!part(this).refused || part(this).failedAtMs === undefined) {
-            await clock.advance(lookMs);
+            await clock.advance(sampleMs);
         }
     },
 );
@@ -236,9 +241,9 @@
         while (clock.monotonicMs() < endsAtMs) {
             assert.ok(
                 !isOpen(worker(), clock.monotonicMs()),
-                `open after ${clock.monotonicMs() - (failedAtMs ?? 0)} ms`,
+                `the worker takes work ${clock.monotonicMs() - (failedAtMs ?? 0)} ms after the failures`,
             );
-            await clock.advance(lookMs);
+            await clock.advance(sampleMs);
         }
     },
 );
