--- a/features/steps/keptRoomSteps.ts
+++ b/features/steps/keptRoomSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about room that is reserved for a gang, and about how long others wait for it. */
+
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
     createFakeClock,
@@ -30,29 +32,30 @@
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Part {
-    /** Jobs by the name that the scene gives them, and when each was submitted. */
+    /** Jobs by their names in the scenario. */
     readonly jobs: Map<string, { readonly jobId: string; readonly submittedAtMs: number; }>;
-    /** Workers that the advisor allows, by ID of a job; it allows all where a job is not among these. */
+    /** Workers that the advisor allows, by ID of a job; all workers for jobs without an entry. */
     readonly allowed: Map<string, readonly string[]>;
-    /** When workers were crashed. */
+    /** Times at which the scenario crashed workers. */
     readonly crashedAtMs: number[];
+    /** A step on trial: tasks under which workers crashed, placed without a cell. */
     onTrial: { readonly clock: FakeClock; readonly pass: () => void; readonly isPlaced: () => boolean; } | undefined;
 }
 
 const firstJobNumber = 6_001;
-const lookMs = 50;
-/** A run that has been at work for this long is no suspect of a crash. */
+const tickMs = 50;
+/** A run that has been at work for this long is not taken for the cause of a crash. */
 const atWorkMs = 9_000;
-/** Of a worker that takes no work for the time being. */
-const leavingMs = 60_000;
-/** The longest that is waited for a start, so that a failure tells how late it was. */
-const mostLateMs = 30_000;
+/** Drain time of a worker that takes no work until the scenario lists all workers again. */
+const drainMs = 60_000;
+/** Bound on each wait for a start; far above the limits of the scenarios, so that a failure shows how late the start was. */
+const longestWaitMs = 30_000;
 
 const part = (world: ScenarioWorld): Part =>
     partOf(world, "keptRoom", () => ({ jobs: new Map(), allowed: new Map(), crashedAtMs: [], onTrial: undefined }));
 
 const jobNamed = (world: ScenarioWorld, name: string): { readonly jobId: string; readonly submittedAtMs: number; } =>
-    part(world).jobs.get(name) ?? assert.fail(`no job ${name}`);
+    part(world).jobs.get(name) ?? assert.fail(`no job is named ${name}`);
 
 const startsOf = (world: ScenarioWorld, name: string): readonly StartEvidence[] => {
     const { jobId } = jobNamed(world, name);
@@ -103,7 +106,7 @@
     submit(this, name, steps);
 });
 
-/** Starts of a job, one for each of its run numbers. */
+/** The first start of a job under each of its run numbers. */
 const firstStarts = (world: ScenarioWorld, name: string): readonly StartEvidence[] => {
     const byRun = new Map<number, StartEvidence>();
     for (const start of startsOf(world, name)) {
@@ -112,12 +115,13 @@
     return [...byRun.values()];
 };
 
-const untilStart = async (world: ScenarioWorld, name: string, number: number): Promise<StartEvidence> => {
+const waitForStart = async (world: ScenarioWorld, name: string, number: number): Promise<StartEvidence> => {
     const cell = cellOf(world);
-    for (let passedMs = 0; passedMs < mostLateMs && firstStarts(world, name).length < number; passedMs += lookMs) {
-        await cell.clock.advance(lookMs);
+    for (let passedMs = 0; passedMs < longestWaitMs && firstStarts(world, name).length < number; passedMs += tickMs) {
+        await cell.clock.advance(tickMs);
     }
-    return firstStarts(world, name)[number - 1] ?? assert.fail(`start ${number} doesn't come within ${mostLateMs} ms`);
+    return firstStarts(world, name)[number - 1]
+        ?? assert.fail(`start ${number} of the job does not happen within ${longestWaitMs} ms`);
 };
 
 When(
@@ -125,7 +129,7 @@
     async function(this: ScenarioWorld, name: string, times: number) {
         const { crashedAtMs } = part(this);
         for (let number = 1; number <= times; number += 1) {
-            const { workerId } = await untilStart(this, name, number);
+            const { workerId } = await waitForStart(this, name, number);
             cellOf(this).crashWorkers([workerId]);
             crashedAtMs.push(cellOf(this).clock.monotonicMs());
         }
@@ -137,16 +141,19 @@
     async function(this: ScenarioWorld, name: string, limitMs: number) {
         const waits: number[] = [];
         for (const [index, atMs] of part(this).crashedAtMs.entries()) {
-            const { startedAtMs } = await untilStart(this, name, index + 2);
+            const { startedAtMs } = await waitForStart(this, name, index + 2);
             waits.push(Math.round(startedAtMs - atMs));
         }
         const [first = 0] = waits;
-        assert.ok((waits.at(-1) ?? Infinity) - first <= limitMs, `it waits ${waits.join(", ")} ms`);
+        assert.ok(
+            (waits.at(-1) ?? Infinity) - first <= limitMs,
+            `the job starts ${waits.join(", ")} ms after the crashes`,
+        );
     },
 );
 
 Given(
-    "{int} workers with a task that lasts on each, and a step of {int} tasks under which {int} workers crashed each",
+    "{int} workers with a long-running task on each, and a step of {int} tasks under which {int} workers crashed each",
     function(this: ScenarioWorld, count: number, members: number, crashes: number) {
         const jobOf = (number: number, step: Step): ShardJob =>
             newJob(
@@ -184,7 +191,7 @@
         for (const task of tasksOf(job)) {
             task.crashes = crashes;
             for (const workerId of workers.keys()) {
-                task.step.advice.good.set(workerId, { ticket: "t", validUntilMs: 2 * mostLateMs });
+                task.step.advice.good.set(workerId, { ticket: "t", validUntilMs: 2 * longestWaitMs });
             }
         }
         const placing = createPlacing({
@@ -214,32 +221,35 @@
 );
 
 Then("the step is placed within {int} ms", async function(this: ScenarioWorld, limitMs: number) {
-    const { clock, pass, isPlaced } = part(this).onTrial ?? assert.fail("there is no step");
+    const { clock, pass, isPlaced } = part(this).onTrial ?? assert.fail("the scenario has no step on trial");
     let waitedMs = 0;
-    for (pass(); !isPlaced() && waitedMs < mostLateMs; pass()) {
-        await clock.advance(lookMs);
-        waitedMs += lookMs;
+    for (pass(); !isPlaced() && waitedMs < longestWaitMs; pass()) {
+        await clock.advance(tickMs);
+        waitedMs += tickMs;
     }
-    assert.ok(isPlaced() && waitedMs <= limitMs, `it takes ${isPlaced() ? "" : "more than "}${waitedMs} ms`);
+    assert.ok(
+        isPlaced() && waitedMs <= limitMs,
+        `placing the step takes ${isPlaced() ? "" : "more than "}${waitedMs} ms`,
+    );
 });
 
 const setFault = (world: ScenarioWorld, workerId: string, fault: string): void => {
-    const known = workerFaults.find(each => each === fault) ?? assert.fail(`no fault ${fault}`);
+    const known = workerFaults.find(each => each === fault) ?? assert.fail(`no fault is named ${fault}`);
     cellOf(world).workers.setFault(workerId, known);
 };
 
 Given(
     "worker {string} takes no work, and {string} is {string}",
-    async function(this: ScenarioWorld, leaving: string, workerId: string, fault: string) {
-        cellOf(this).drain(leaving, leavingMs);
+    async function(this: ScenarioWorld, draining: string, workerId: string, fault: string) {
+        cellOf(this).drain(draining, drainMs);
         setFault(this, workerId, fault);
-        await cellOf(this).clock.advance(lookMs);
+        await cellOf(this).clock.advance(tickMs);
     },
 );
 
 When("job {string} has {int} runs", async function(this: ScenarioWorld, name: string, count: number) {
     const cell = cellOf(this);
-    for (let passedMs = 0; passedMs < mostLateMs && startsOf(this, name).length < count; passedMs += 1) {
+    for (let passedMs = 0; passedMs < longestWaitMs && startsOf(this, name).length < count; passedMs += 1) {
         await cell.clock.advance(1);
     }
     assert.equal(startsOf(this, name).length, count);
@@ -262,11 +272,11 @@
     async function(this: ScenarioWorld, name: string, limitMs: number) {
         const cell = cellOf(this);
         const { submittedAtMs } = jobNamed(this, name);
-        while (startsOf(this, name).length === 0 && cell.clock.monotonicMs() - submittedAtMs < mostLateMs) {
-            await cell.clock.advance(lookMs);
+        while (startsOf(this, name).length === 0 && cell.clock.monotonicMs() - submittedAtMs < longestWaitMs) {
+            await cell.clock.advance(tickMs);
         }
         const waitedMs = Math.round((startsOf(this, name)[0]?.startedAtMs ?? Infinity) - submittedAtMs);
-        assert.ok(waitedMs <= limitMs, `it starts ${waitedMs} ms after its submission`);
+        assert.ok(waitedMs <= limitMs, `the job starts ${waitedMs} ms after its submission`);
     },
 );
 
@@ -277,6 +287,6 @@
         const fromMs = cell.clock.monotonicMs();
         const startOf = (): StartEvidence | undefined =>
             startsOf(this, name).find(({ startedAtMs }) => startedAtMs >= fromMs);
-        assert.ok(await cell.until(() => startOf() !== undefined, limitMs), "it does not");
+        assert.ok(await cell.until(() => startOf() !== undefined, limitMs), "the job does not start");
     },
 );
--- a/features/steps/waterfallSteps.ts
+++ b/features/steps/waterfallSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about the `waterfall` command, which reads from a log how much time each stage of a job took. */
+
 import { type DataTable, Given, Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -13,7 +15,8 @@
     exitCode: number;
 }
 
-interface Answer {
+/** The command's output with `--json`. */
+interface WaterfallOutput {
     readonly slowest: readonly {
         readonly jobId: string;
         readonly tookMs: number;
@@ -25,7 +28,7 @@
 const part = (world: ScenarioWorld): Part =>
     partOf(world, "waterfall", () => ({ folder: "", text: "", errors: "", exitCode: -1 }));
 
-const run = async (world: ScenarioWorld, args: readonly string[]): Promise<void> => {
+const runCommand = async (world: ScenarioWorld, args: readonly string[]): Promise<void> => {
     const state = part(world);
     const output = {
         write: (text: string) => void (state.text += text),
@@ -46,19 +49,19 @@
 });
 
 When("the waterfall of the log is asked for as JSON", async function(this: ScenarioWorld) {
-    await run(this, ["--json", "waterfall", logPath(this)]);
+    await runCommand(this, ["--json", "waterfall", logPath(this)]);
 });
 
 When("the waterfall of the log is asked for with a drawing", async function(this: ScenarioWorld) {
-    await run(this, ["waterfall", logPath(this), "--svg", join(part(this).folder, "drawing.svg")]);
+    await runCommand(this, ["waterfall", logPath(this), "--svg", join(part(this).folder, "drawing.svg")]);
 });
 
 When("the waterfall of a log that does not exist is asked for", async function(this: ScenarioWorld) {
-    await run(this, ["waterfall", join(part(this).folder, "none.log")]);
+    await runCommand(this, ["waterfall", join(part(this).folder, "none.log")]);
 });
 
 const firstJob = (world: ScenarioWorld) => {
-    const { slowest: [job] } = JSON.parse(part(world).text) as Answer;
+    const { slowest: [job] } = JSON.parse(part(world).text) as WaterfallOutput;
     return job ?? assert.fail(part(world).text);
 };
 
--- a/features/waterfall.feature
+++ b/features/waterfall.feature
@@ -1,4 +1,4 @@
-Feature: Where the time of jobs went
+Feature: Time that jobs spend in each stage
 
     Background:
         Given a log with these lines
@@ -13,12 +13,12 @@
             | 3050 | runEnded    | {"task":"00000000000000a1.0.0.1","run":2,"how":"done"}                                 |
             | 3060 | jobState    | {"jobId":"00000000000000a1","from":"running","to":"completed","objectiveMs":1500}      |
 
-    Scenario: Each stage of a job is told, and the one that made it late
+    Scenario: The time of each stage of a job is shown, and the longest stage is named
         When the waterfall of the log is asked for as JSON
         Then the job "00000000000000a1" took 2060 ms, most of it in "refused"
         And its stages took refused 1000, advice 50, room 100, repeat 400, run 500, end 10
 
-    Scenario: The groups are shown as a table and drawn
+    Scenario: The groups are shown as a table and as a drawing
         When the waterfall of the log is asked for with a drawing
         Then the table names the queue "stages/plans/"
         And the drawing has a bar of each stage
