--- a/features/connections.feature
+++ b/features/connections.feature
@@ -1,6 +1,6 @@
 Feature: Connections that go silent without a reset
 
-    Scenario Outline: One call is lost to <open> connections that went silent, and the next one is answered
+    Scenario Outline: After <open> connections go silent, one call fails and the next one is answered
         Given a service with <open> open connections
         When all open connections go silent
         And a call is made that may take 100 ms
@@ -13,14 +13,14 @@
             | 1    |
             | 5    |
 
-    Scenario: One slow answer does not cost the connections that answer meanwhile
+    Scenario: One slow answer does not replace connections that answer in the meantime
         Given a service with 3 open connections
         When a call is made that may take 200 ms and gets no answer, while others are answered
         And a call is made that may take 20000 ms
         Then it was answered
         And no connection was replaced
 
-    Scenario: A call that may be answered late is not waited for before its connections are judged
+    Scenario: Silent connections are replaced before the timeout of a call that allows a late answer
         Given a service with 5 open connections
         When all open connections go silent
         And a call is under way for 300 ms that makes its connections suspect after 50 ms
@@ -38,13 +38,14 @@
             | comes in 8 pieces, each after 80 ms  | 300       | got no answer |
             | comes in 2 pieces, each after 600 ms | 20000     | got no answer |
 
-    Scenario: A call ends in time although no connection comes about
+    Scenario: A call times out when no connection can be opened
         Given a service that accepts no connection
         When a call is made that may take 100 ms
-        Then it surely was not delivered
+        Then it was not delivered
 
-    # A crash behind a cut link was taken for one at the time of the silence: only a process that ends loses its connections at once.
-    Scenario Outline: A call that <what> tells whether its connection was lost
+    # A lost connection and a silent one must be told apart. Only a process that has ended closes its connections at once; behind a
+    # cut link they go silent. Taking one for the other dated a crash behind a cut link to the beginning of the silence.
+    Scenario Outline: A call that <what> reports whether its connection was lost
         Given a service with 1 open connections
         When <event>
         And a call is made that may take 300 ms
@@ -52,10 +53,10 @@
 
         Examples:
             | what                               | event                        | lost         |
-            | meets a process that has ended     | the service ends             | was lost     |
-            | gets no answer over a silent one   | all open connections go silent | was not lost |
+            | reaches a process that has ended   | the service ends             | was lost     |
+            | gets no answer on a silent one     | all open connections go silent | was not lost |
 
-    Scenario: A call under way as its process ends tells that its connection was lost
+    Scenario: A call in flight when the process ends reports that its connection was lost
         Given a service with 1 open connections
         When the service ends 100 ms after a call that gets no answer
         Then its connection was lost
--- a/features/steps/advisorLaneSteps.ts
+++ b/features/steps/advisorLaneSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about the advice desk, which spreads calls to the advisor over lanes: one lane for each daemon that can call it. */
+
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createFakeClock, type FakeClock, quietLog, quietMeter } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
@@ -9,25 +11,28 @@
     readonly desk: AdviceDesk;
     readonly laneIds: readonly string[];
     readonly callMs: number;
-    /** Tells for each lane whether a call that comes now hangs. */
+    /** For each lane that may hang, whether a call that arrives now gets no answer. */
     readonly hangs: Map<string, () => boolean>;
-    /** Lanes that were asked, in the order of asking. */
+    /** The lane of each call, in the order of the calls. */
     readonly asked: string[];
     outageEndsAtMs: number;
+    /** The latest step that asked for advice. */
     newest: { readonly beganAtMs: number; readonly callsBefore: number; advisedAtMs: number | undefined; } | undefined;
-    /** How long calls waited for their answers, in milliseconds. */
+    /** Time from each request to its answer in milliseconds, by the kind of call. */
     readonly waits: { readonly slow: number[]; readonly quick: number[]; };
 }
 
 const partName = "advisorLanes";
-const part = (world: ScenarioWorld): Part => partOf<Part>(world, partName, () => assert.fail("there is no desk"));
+const part = (world: ScenarioWorld): Part =>
+    partOf<Part>(world, partName, () => assert.fail("the scenario has no advice desk"));
 
-/** A step asks again so long after a failure, as the product's steps do. */
+/** Delay before a step asks again after a failed call, as in the scheduler. */
 const retryMs = 150;
-/** How long the advisor takes for a quick call. */
+/** Time that the advisor takes to answer a quick call. */
 const quickCallMs = 40;
+/** Bound on each wait; every call has ended by then. */
 const limitMs = 60_000;
-const lookMs = 10;
+const tickMs = 10;
 
 Given(
     "an advice desk with {int} lanes, whose calls take {int} ms",
@@ -65,27 +70,27 @@
     },
 );
 
-/** Gives each of the first lanes a test of its own for whether a call hangs. */
-const letHang = (world: ScenarioWorld, count: number, hangs: (lane: string) => boolean): void => {
+/** Sets the condition under which calls through the first lanes hang. */
+const setHangs = (world: ScenarioWorld, count: number, hangs: (lane: string) => boolean): void => {
     for (const lane of part(world).laneIds.slice(0, count)) {
         part(world).hangs.set(lane, () => hangs(lane));
     }
 };
 
 Given("{int} of its lanes hang for good", function(this: ScenarioWorld, count: number) {
-    letHang(this, count, () => true);
+    setHangs(this, count, () => true);
 });
 
 Given("{int} of its lanes hang once", function(this: ScenarioWorld, count: number) {
     const { asked } = part(this);
-    letHang(this, count, lane => asked.filter(each => each === lane).length === 1);
+    setHangs(this, count, lane => asked.filter(each => each === lane).length === 1);
 });
 
 Given("{int} of its lanes hang for {int} ms", function(this: ScenarioWorld, count: number, forMs: number) {
     const { clock } = part(this);
     const endsAtMs = clock.monotonicMs() + forMs;
     part(this).outageEndsAtMs = endsAtMs;
-    letHang(this, count, () => clock.monotonicMs() < endsAtMs);
+    setHangs(this, count, () => clock.monotonicMs() < endsAtMs);
 });
 
 When("a step asks until it is advised", async function(this: ScenarioWorld) {
@@ -105,14 +110,14 @@
             priority: 1,
             wanted: () => !isAdvised(),
             onAnswer: () => {
-                assert.ok(!isAdvised(), "the step is answered twice");
+                assert.ok(!isAdvised(), "the step got two answers");
                 newest.advisedAtMs = clock.monotonicMs();
             },
             onFailure: () => clock.setTimer(retryMs, ask),
         });
     ask();
     while (!isAdvised() && clock.monotonicMs() - newest.beganAtMs < limitMs) {
-        await clock.advance(lookMs);
+        await clock.advance(tickMs);
     }
 });
 
@@ -135,11 +140,11 @@
         for (let number = 0; number < count; number += 1) {
             ask(callMs, "slow");
         }
-        for (let passedMs = 0; passedMs < forMs; passedMs += lookMs) {
+        for (let passedMs = 0; passedMs < forMs; passedMs += tickMs) {
             if (eachMs > 0 && passedMs % eachMs === 0) {
                 ask(quickMs, "quick");
             }
-            await clock.advance(lookMs);
+            await clock.advance(tickMs);
         }
     },
 );
@@ -149,31 +154,35 @@
     function(this: ScenarioWorld, count: number, withinMs: number, quickWithinMs: number) {
         const { waits } = part(this);
         assert.equal(waits.slow.length, count);
-        assert.ok(Math.max(...waits.slow) <= withinMs, `after ${Math.max(...waits.slow)} ms`);
-        assert.ok(Math.max(0, ...waits.quick) <= quickWithinMs, `a quick one after ${Math.max(...waits.quick)} ms`);
+        assert.ok(Math.max(...waits.slow) <= withinMs, `the slowest answer came after ${Math.max(...waits.slow)} ms`);
+        assert.ok(
+            Math.max(0, ...waits.quick) <= quickWithinMs,
+            `the slowest quick answer came after ${Math.max(...waits.quick)} ms`,
+        );
     },
 );
 
-When("the desk is left alone for {int} ms", async function(this: ScenarioWorld, forMs: number) {
+When("nobody asks for {int} ms", async function(this: ScenarioWorld, forMs: number) {
     await part(this).clock.advance(forMs);
 });
 
-const advisedAtMs = (world: ScenarioWorld): number => part(world).newest?.advisedAtMs ?? assert.fail("never advised");
+const advisedAtMs = (world: ScenarioWorld): number =>
+    part(world).newest?.advisedAtMs ?? assert.fail("the step got no answer");
 
 Then(
     /^it is advised within (\d+) ms, after (\d+) calls? at the most$/,
     async function(this: ScenarioWorld, withinMs: string, mostCalls: string) {
         const { clock, asked, newest } = part(this);
         const tookMs = advisedAtMs(this) - (newest?.beganAtMs ?? 0);
-        assert.ok(tookMs <= Number(withinMs), `after ${tookMs} ms, by ${asked.join(" ")}`);
-        // Calls that are still under way count as well, and no answer may come of them.
+        assert.ok(tookMs <= Number(withinMs), `answered after ${tookMs} ms; lanes called: ${asked.join(" ")}`);
+        // Lets the calls still in flight end: they count too, and must not answer the step again.
         await clock.advance(limitMs);
         const calls = asked.length - (newest?.callsBefore ?? 0);
-        assert.ok(calls <= Number(mostCalls), `${calls} calls, by ${asked.join(" ")}`);
+        assert.ok(calls <= Number(mostCalls), `${calls} calls; lanes called: ${asked.join(" ")}`);
     },
 );
 
 Then("it is advised within {int} ms after the outage", function(this: ScenarioWorld, withinMs: number) {
     const tookMs = advisedAtMs(this) - part(this).outageEndsAtMs;
-    assert.ok(tookMs <= withinMs, `after ${tookMs} ms, by ${part(this).asked.join(" ")}`);
+    assert.ok(tookMs <= withinMs, `answered after ${tookMs} ms; lanes called: ${part(this).asked.join(" ")}`);
 });
--- a/features/steps/callerKeySteps.ts
+++ b/features/steps/callerKeySteps.ts
@@ -1,4 +1,4 @@
-/** Steps about who may call a shard, and whose jobs a caller sees. */
+/** Steps about callers' keys: who may call a shard, and which jobs a caller can read or cancel. */
 
 import { Given, Then, When } from "@cucumber/cucumber";
 import { jobIdOf, plainStep, shardFaults, testQueue } from "@puffinarch/stand-ins";
@@ -8,16 +8,16 @@
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Keys {
-    /** Versions that each incarnation of a daemon had, in their order. */
+    /** Configuration versions that each running daemon has had, in order; a restarted daemon has an entry of its own. */
     readonly seen: Map<unknown, number[]>;
-    startedAgain: string;
+    /** The daemon that was restarted during an outage of the store. */
+    restarted: string;
 }
 
-const keysOf = (world: ScenarioWorld): Keys =>
-    partOf(world, "callerKeys", () => ({ seen: new Map(), startedAgain: "" }));
+const keysOf = (world: ScenarioWorld): Keys => partOf(world, "callerKeys", () => ({ seen: new Map(), restarted: "" }));
 
-/** Reads organisations with a key each, such as "north a, south b". */
-const readOrganisations = (text: string): readonly Organisation[] =>
+/** Parses organisations with one key each, such as "north a, south b". */
+const parseOrganisations = (text: string): readonly Organisation[] =>
     text.split(", ").map(each => {
         const [name = "", key = ""] = each.split(" ");
         return { name, keyDigests: [digestKey(key)], weight: 1, cap: noResources };
@@ -26,13 +26,13 @@
 Given(
     "a cell of {int} daemons and {int} workers whose callers have the keys {string}",
     async function(this: ScenarioWorld, members: number, workers: number, organisations: string) {
-        await startCell(this, { members, workers, seed: 1, organisations: readOrganisations(organisations) });
+        await startCell(this, { members, workers, seed: 1, organisations: parseOrganisations(organisations) });
     },
 );
 
 When("the callers have the keys {string} from now on", function(this: ScenarioWorld, organisations: string) {
     const cell = cellOf(this);
-    cell.configure(cell.version() + 1, readOrganisations(organisations));
+    cell.configure(cell.version() + 1, parseOrganisations(organisations));
 });
 
 When("the store is down and a daemon starts again", function(this: ScenarioWorld) {
@@ -42,39 +42,39 @@
     part(this).mend.push(() => cell.store.setFault("none"));
     cell.kill(memberId);
     cell.restart(memberId);
-    keysOf(this).startedAgain = memberId;
+    keysOf(this).restarted = memberId;
 });
 
 Then("that daemon answers the key {string} with {string}", function(this: ScenarioWorld, key: string, kind: string) {
-    const member = cellOf(this).member(keysOf(this).startedAgain);
+    const member = cellOf(this).member(keysOf(this).restarted);
     assert.throws(() => member?.authenticate(testQueue, key), error => kindOf(error) === kind);
 });
 
-const running = (world: ScenarioWorld) =>
+const runningDaemons = (world: ScenarioWorld) =>
     cellOf(world).memberIds().flatMap(memberId => {
         const member = cellOf(world).member(memberId);
         return member === undefined || !cellOf(world).isRunning(memberId) ? [] : [{ memberId, member }];
     });
 
 Then(
-    "the keys {string} are known to all daemons that run, and {string} is to none",
-    function(this: ScenarioWorld, known: string, unknown: string) {
-        for (const { memberId, member } of running(this)) {
-            for (const key of known.split(", ")) {
-                assert.doesNotThrow(() => member.authenticate(testQueue, key), `${memberId} does not know ${key}`);
+    "all running daemons accept the keys {string}, and none accepts {string}",
+    function(this: ScenarioWorld, accepted: string, rejected: string) {
+        for (const { memberId, member } of runningDaemons(this)) {
+            for (const key of accepted.split(", ")) {
+                assert.doesNotThrow(() => member.authenticate(testQueue, key), `${memberId} rejects ${key}`);
             }
             assert.throws(
-                () => member.authenticate(testQueue, unknown),
+                () => member.authenticate(testQueue, rejected),
                 error => kindOf(error) === "unauthenticated",
-                `${memberId} knows ${unknown}`,
+                `${memberId} accepts ${rejected}`,
             );
         }
     },
 );
 
-const noteVersions = (world: ScenarioWorld): void => {
+const recordVersions = (world: ScenarioWorld): void => {
     const { seen } = keysOf(world);
-    for (const { member } of running(world)) {
+    for (const { member } of runningDaemons(world)) {
         const version = member.configuration()?.version;
         const before = seen.get(member) ?? [];
         if (version !== undefined && before.at(-1) !== version) {
@@ -101,25 +101,26 @@
                 mend = () => {};
             }
             await cell.clock.advance(withinMs / count);
-            noteVersions(this);
+            recordVersions(this);
         }
         mend?.();
     },
 );
 
 Then("every daemon that runs has the newest version", function(this: ScenarioWorld) {
-    const versions = running(this).map(({ member }) => member.configuration()?.version);
+    const versions = runningDaemons(this).map(({ member }) => member.configuration()?.version);
     assert.ok(versions.length > 0);
     assert.deepEqual(new Set(versions), new Set([cellOf(this).version()]));
 });
 
-Then("no daemon went back to an older one", function(this: ScenarioWorld) {
+Then("no daemon went back to an older version", function(this: ScenarioWorld) {
     for (const versions of keysOf(this).seen.values()) {
         assert.deepEqual(versions, [...versions].sort((left, right) => left - right));
     }
 });
 
-const job = (organisation: string) => ({ queueKey: testQueue.key, jobId: jobIdOf(1), organisation });
+const jobOf = (organisation: string) => ({ queueKey: testQueue.key, jobId: jobIdOf(1), organisation });
+/** Longest time that a call may take. */
 const patienceMs = 1_000;
 
 const answerOf = async <T>(world: ScenarioWorld, call: Promise<T>): Promise<T> => {
@@ -128,27 +129,28 @@
     return call;
 };
 
-/** Through a daemon that does not own the shard, so that the answer comes from its owner. */
-const entry = (world: ScenarioWorld) =>
-    running(world).find(({ memberId }) => memberId !== cellOf(world).owner())?.member ?? assert.fail("none runs");
+/** A running daemon that does not own the shard, so that it forwards calls to the owner. */
+const forwardingDaemon = (world: ScenarioWorld) =>
+    runningDaemons(world).find(({ memberId }) => memberId !== cellOf(world).owner())?.member
+        ?? assert.fail("no daemon but the owner runs");
 
 Then(
     "the job is {string} for a caller of {string}",
     async function(this: ScenarioWorld, state: string, organisation: string) {
-        const status = await answerOf(this, entry(this).jobState(job(organisation), patienceMs));
+        const status = await answerOf(this, forwardingDaemon(this).jobState(jobOf(organisation), patienceMs));
         assert.equal(status?.state ?? "unknown", state);
     },
 );
 
-Then("a caller of {string} cancels it in vain", async function(this: ScenarioWorld, organisation: string) {
-    assert.equal(await answerOf(this, entry(this).cancel(job(organisation), patienceMs)), false);
+Then("a caller of {string} cannot cancel it", async function(this: ScenarioWorld, organisation: string) {
+    assert.equal(await answerOf(this, forwardingDaemon(this).cancel(jobOf(organisation), patienceMs)), false);
 });
 
 Then(
-    "a caller of {string} that submits the same id hears {string}",
+    "a caller of {string} that submits the same id is answered with {string}",
     async function(this: ScenarioWorld, organisation: string, kind: string) {
         const submission = {
-            ...job(organisation),
+            ...jobOf(organisation),
             dataCentre: "leon-feria",
             payload: "",
             steps: [plainStep],
@@ -156,7 +158,10 @@
         };
         const answer = await answerOf(
             this,
-            entry(this).submit(submission, patienceMs).then(() => "accepted", (error: unknown) => kindOf(error)),
+            forwardingDaemon(this).submit(submission, patienceMs).then(
+                () => "accepted",
+                (error: unknown) => kindOf(error),
+            ),
         );
         assert.equal(answer, kind);
     },
--- a/features/steps/connectionSteps.ts
+++ b/features/steps/connectionSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about the HTTP caller: connections that stop answering, slow answers and calls that time out. */
+
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
 import { type ChildProcess, spawn } from "node:child_process";
@@ -12,6 +14,7 @@
     child: ChildProcess | undefined;
     http: HttpCaller | undefined;
     readonly meter: ReturnType<typeof createMeter>;
+    /** Connections over which the service answers nothing any more. */
     readonly silent: Set<Socket>;
     readonly open: Set<Socket>;
     address: string;
@@ -41,7 +44,7 @@
     return http.call("GET", `${address}${path}`, undefined, { timeoutMs, suspectAfterMs });
 };
 
-/** Sends white space piece by piece, and an object at the end. */
+/** Sends a JSON object in pieces: white space at first, the object in the last piece. */
 const sendPieces = (response: ServerResponse, count: number, eachMs: number): void => {
     let sent = 0;
     const timer = setInterval(() => {
@@ -56,9 +59,10 @@
     response.on("close", () => clearInterval(timer));
 };
 
-/** How long the service takes for "/slow", so that calls under way at once need a connection each. */
+/** Time that the service takes to answer "/slow", so that concurrent calls need a connection each. */
 const slowAnswerMs = 50;
-const answeredInTimeMs = 20_000;
+/** Timeout of calls that are expected to be answered. */
+const longTimeoutMs = 20_000;
 
 Given("a service with {int} open connections", async function(this: ScenarioWorld, count: number) {
     const { silent, open, meter } = part(this);
@@ -79,26 +83,26 @@
     });
     part(this).server = server;
     part(this).address = `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
-    part(this).http = createHttpCaller({ timeoutMs: answeredInTimeMs, connectionsPerHost: count, meter });
-    await Promise.all(Array.from({ length: count }, () => call(this, "/slow", answeredInTimeMs)));
+    part(this).http = createHttpCaller({ timeoutMs: longTimeoutMs, connectionsPerHost: count, meter });
+    await Promise.all(Array.from({ length: count }, () => call(this, "/slow", longTimeoutMs)));
     assert.equal(open.size, count);
 });
 
-/** Listens with the shortest queue of new connections, says its port, and never accepts one. */
-const deafScript = `const server = require("node:net").createServer();
+/** Listens with the shortest backlog, prints its port, and blocks its event loop so that it never accepts a connection. */
+const blockedServerScript = `const server = require("node:net").createServer();
 server.listen({ port: 0, host: "127.0.0.1", backlog: 1 }, () => {
     require("node:fs").writeSync(1, String(server.address().port));
     for (const endsAtMs = Date.now() + 60_000; Date.now() < endsAtMs;) {}
 });`;
-/** More than the queue holds; the kernel drops what comes after. */
-const queuedConnections = 8;
+/** More connections than the backlog holds; the kernel drops the packets of all further ones. */
+const backlogConnections = 8;
 
 Given("a service that accepts no connection", async function(this: ScenarioWorld) {
-    const child = spawn(process.execPath, ["-e", deafScript], { stdio: ["ignore", "pipe", "ignore"] });
+    const child = spawn(process.execPath, ["-e", blockedServerScript], { stdio: ["ignore", "pipe", "ignore"] });
     const port = await new Promise<number>(resolve => {
         child.stdout.once("data", (data: Buffer) => resolve(Number(data.toString("utf8"))));
     });
-    for (let count = 0; count < queuedConnections; count += 1) {
+    for (let count = 0; count < backlogConnections; count += 1) {
         const socket = connect({ port, host: "127.0.0.1" });
         socket.on("error", () => {});
         part(this).open.add(socket);
@@ -106,8 +110,8 @@
     part(this).child = child;
     part(this).address = `http://127.0.0.1:${port}`;
     part(this).http = createHttpCaller({
-        timeoutMs: answeredInTimeMs,
-        connectTimeoutMs: answeredInTimeMs,
+        timeoutMs: longTimeoutMs,
+        connectTimeoutMs: longTimeoutMs,
         connectionsPerHost: 1,
         meter: part(this).meter,
     });
@@ -120,36 +124,36 @@
     }
 });
 
-const endService = (world: ScenarioWorld): void => {
+const stopService = (world: ScenarioWorld): void => {
     part(world).server?.close();
     part(world).server?.closeAllConnections();
 };
 
 When("the service ends", async function(this: ScenarioWorld) {
-    endService(this);
+    stopService(this);
     await sleep(slowAnswerMs);
 });
 
 When(
     "the service ends {int} ms after a call that gets no answer",
     async function(this: ScenarioWorld, afterMs: number) {
-        const unanswered = call(this, "/never", answeredInTimeMs);
+        const unanswered = call(this, "/never", longTimeoutMs);
         await sleep(afterMs);
-        endService(this);
+        stopService(this);
         part(this).result = await unanswered;
     },
 );
 
 Then(/^its connection (was|was not) lost$/, function(this: ScenarioWorld, what: string) {
     const { result } = part(this);
-    assert.ok(result !== undefined && result.kind !== "answered", "it was answered");
+    assert.ok(result !== undefined && result.kind !== "answered", "the call was answered");
     assert.equal(result.connectionLost, what === "was");
 });
 
 When(
     "a call is made that may take {int} ms",
-    // Well below the limit of a connection, so that a call which waits for that fails.
-    { timeout: answeredInTimeMs / 2 },
+    // Well below the timeout for connecting, so that a call that waits for a connection until that timeout fails the step.
+    { timeout: longTimeoutMs / 2 },
     async function(this: ScenarioWorld, timeoutMs: number) {
         part(this).result = await call(this, "/", timeoutMs);
     },
@@ -159,8 +163,8 @@
     "a call is made that may take {int} ms and gets no answer, while others are answered",
     async function(this: ScenarioWorld, timeoutMs: number) {
         const unanswered = call(this, "/never", timeoutMs);
-        await call(this, "/", answeredInTimeMs);
-        await call(this, "/", answeredInTimeMs);
+        await call(this, "/", longTimeoutMs);
+        await call(this, "/", longTimeoutMs);
         assert.equal((await unanswered).kind, "unknown");
     },
 );
@@ -179,7 +183,7 @@
 When(
     "a call is under way for {int} ms that makes its connections suspect after {int} ms",
     async function(this: ScenarioWorld, waitMs: number, suspectAfterMs: number) {
-        void call(this, "/", answeredInTimeMs, suspectAfterMs);
+        void call(this, "/", longTimeoutMs, suspectAfterMs);
         await new Promise(resolve => setTimeout(resolve, waitMs));
     },
 );
@@ -188,7 +192,7 @@
     assert.equal(part(this).result?.kind, "unknown");
 });
 
-Then("it surely was not delivered", function(this: ScenarioWorld) {
+Then("it was not delivered", function(this: ScenarioWorld) {
     assert.equal(part(this).result?.kind, "notDelivered");
 });
 
