--- a/features/decoding.feature
+++ b/features/decoding.feature
@@ -1,6 +1,6 @@
-Feature: Rows that another writer left
+Feature: Rows in the store that cannot be read
 
-    # An entry that cannot be read names no worker, no configuration and no wave; all others stay in force.
+    # A row that cannot be read adds no worker, configuration or wave, and leaves all other rows in force.
     Scenario Outline: An executor's entry is <value>
         Then an executor's entry '<value>' cannot be read at "<field>"
 
@@ -49,10 +49,10 @@
             | wave/3 | {"wave":"3","machines":[]}                                                                         | wave                   |
             | wave/3 | {"wave":3,"cap":"one"}                                                                             | cap                    |
 
-    Scenario Outline: A worker or the platform answers with the word "<word>", which every object inherits
+    Scenario Outline: A refused start gives as its reason "<word>", a property that every object inherits
         Given a service that answers 409 with '{"clock_ms":1,"reason":"<word>"}'
         When a run is started through the adapter
-        Then the adapter says "unknown"
+        Then the adapter returns "unknown"
 
         Examples:
             | word        |
@@ -60,15 +60,15 @@
             | toString    |
             | __proto__   |
 
-    # One row that another writer left stopped the list of workers for as long as it stood: nothing was started.
-    Scenario Outline: Work goes on beside <what> that cannot be read
+    # Guards against a single unreadable row that stops updates of the worker list for as long as it is stored: nothing was started.
+    Scenario Outline: Jobs complete although <what> cannot be read
         Given a cell of 3 daemons and 4 workers
         When another writer leaves <what> that cannot be read
         And the fault "owner killed" comes
         And the shard runs for 1000 ms
         And 6 jobs of steps "2, 1 after 0" are submitted
         Then all jobs are "completed" within 10000 ms
-        And an unreadable row was logged once by each owner or daemon that met it
+        And an unreadable row was logged once by each owner or daemon that read it
         And no promise was broken
 
         Examples:
@@ -83,7 +83,7 @@
             | an ended job         |
             | the VMs of a wave    |
 
-    Scenario: A worker whose row cannot be read any more gets no new work
+    Scenario: A worker whose row becomes unreadable gets no new work
         Given a cell of 3 daemons and 2 workers
         When another writer leaves a row of the first worker that cannot be read
         And the shard runs for 1000 ms
@@ -91,8 +91,8 @@
         Then all jobs are "completed" within 10000 ms
         And the first worker has started nothing
 
-    Scenario Outline: Whatever a <kind> row holds, it is decoded or says what cannot be read, seed <seed>
-        Then 3000 mutations of a "<kind>" row with seed <seed> throw nothing and give whole entries only
+    Scenario Outline: A mutated <kind> row is decoded or reported as unreadable, seed <seed>
+        Then 3000 mutations of a "<kind>" row with seed <seed> throw nothing and give well-formed entries only
 
         Examples:
             | kind          | seed |
--- a/features/machines.feature
+++ b/features/machines.feature
@@ -1,4 +1,4 @@
-Feature: Workers and upstreams
+Feature: Simulated workers and upstreams
 
     Scenario Outline: A start order through the <adapter> adapter when <case>
         Given a worker behind the "<adapter>" adapter
@@ -17,14 +17,14 @@
             | http    | unreachable      | unknown | 0    |
             | http    | not listening    | refused | 0    |
 
-    Scenario: A worker has no guards
+    Scenario: A worker checks neither for repeated attempts nor for its capacity
         Given a worker behind the "direct" adapter
         When the same attempt is started twice
         Then the worker ran the attempt 2 times
         When an attempt larger than the worker is started
         Then the worker counts 1 overcommit
 
-    Scenario: A lease that is not renewed lapses on the worker's own clock
+    Scenario: A lease that is not renewed expires by the worker's own clock
         Given a worker behind the "direct" adapter
         When an attempt of 60000 ms is started with a lease of 5000 ms
         And 4000 ms pass
@@ -34,20 +34,20 @@
         When 1001 ms pass
         Then the worker has ended the attempt as "lapsed"
 
-    Scenario: An ended attempt is told until it is acknowledged
+    Scenario: An ended attempt is reported until it is acknowledged
         Given a worker behind the "direct" adapter
         When an attempt of 100 ms is started with a lease of 5000 ms
         And 200 ms pass
         Then the worker has ended the attempt as "completed"
         And the worker has ended the attempt as "completed"
         When the attempt's end is acknowledged
-        Then the worker shows nothing
+        Then the worker reports no attempt
 
-    Scenario: A worker tells what changed
+    Scenario: A poll reports changes since a version
         Given a worker behind the "direct" adapter
         When an attempt of 60000 ms is started with a lease of 50000 ms
         And 2000 ms pass
-        Then a poll that has seen it tells only what changed since
+        Then a poll from the seen version on reports only what changed since
 
     Scenario Outline: An upstream with <sent> requests at once
         Given an upstream
--- a/features/quotas.feature
+++ b/features/quotas.feature
@@ -1,7 +1,7 @@
-Feature: What an organisation may have running
+Feature: Caps on the running tasks of organisations
 
-    # Callers of the others waited while one organisation had more of the workers than it may have.
-    Scenario Outline: No organisation has more running than its cap, whatever comes: <fault>
+    # Guards against an organisation that exceeds its cap and so makes the callers of other organisations wait.
+    Scenario Outline: No organisation has more running than its cap under any fault: <fault>
         Given a cell of 4 daemons and 6 workers for the organisations "north 6, south 0"
         When 12 jobs of steps "3, 4 after 0" are submitted for "north"
         And 4 jobs of steps "2, 2 after 0" are submitted for "south"
@@ -33,7 +33,7 @@
             | caps lowered to a quarter, owner killed  |
             | caps raised to double, owner stops       |
 
-    Scenario: An organisation at its cap holds no other one back
+    Scenario: An organisation at its cap does not delay the others
         Given a cell of 3 daemons and 4 workers for the organisations "north 4, south 0"
         When 60 jobs of steps "3" are submitted for "north"
         And the shard runs for 500 ms
@@ -45,16 +45,16 @@
         Given a cell of 3 daemons and 4 workers for the organisations "north 5"
         When 1 jobs of steps "20" are submitted for "north"
         Then all jobs are "completed" within 12000 ms
-        And 5 tasks of "north" at most ran at once, and 5 did
+        And at most 5 tasks of "north" ran at once, and 5 did
 
-    # The smaller tasks of its organisation took each piece of the cap that fell free.
+    # Guards against a gang that never starts because smaller tasks of its organisation use each part of the cap that becomes free.
     Scenario: A gang that needs most of its cap runs among smaller tasks of its organisation
         Given a cell of 3 daemons and 4 workers for the organisations "north 6"
         When jobs of steps "1" for "north" come each 200 ms for 20000 ms, and one of steps "5 gang" after 1000 ms
         Then the gang ran within 2500 ms
         And no promise was broken
 
-    Scenario: Nothing is killed for a cap that was lowered, and nothing starts above it
+    Scenario: Lowering a cap stops no running task, and no task starts above the cap
         Given a cell of 3 daemons and 4 workers for the organisations "north 12"
         When 1 jobs of steps "10 long running" are submitted for "north"
         And the shard runs for 2000 ms
@@ -63,13 +63,13 @@
         And the shard runs for 4000 ms
         Then 10 tasks of "north" run
         And the shard runs for 8000 ms
-        And the log names "cap" as what tasks wait for
+        And the log names "cap" as the reason why tasks wait
         And the fault goes
         And the shard runs for 3000 ms
         And all jobs but those that last are completed
         And no promise was broken
 
-    Scenario: No advice is asked and no run is stopped for what its cap holds back
+    Scenario: No advisor call is made and no run is preempted for tasks that wait for their cap
         Given a cell of 3 daemons and 1 worker with two queues for the organisations "north 2, south 0"
         When 1 jobs of steps "8 checkpointing for 20000 ms" are submitted for "south" to the later queue
         And the shard runs for 1500 ms
@@ -78,10 +78,10 @@
         And 5 jobs of steps "1" are submitted for "north"
         And the shard runs for 3000 ms
         Then 2 tasks of "north" run
-        And no task of the last 5 jobs was asked advice for
+        And the advisor was asked about no task of the last 5 jobs
         And no run was stopped for them
 
-    Scenario Outline: A job of steps "<steps>" that its cap never holds is refused at once
+    Scenario Outline: A job of steps "<steps>" that does not fit its cap is refused at once
         Given a cell of 3 daemons and 4 workers for the organisations "north 4"
         When a job of steps "<steps>" is submitted once for "north"
         Then it is answered with "overQuota" within 100 ms
@@ -93,10 +93,10 @@
             | 5 gang             |
             | 1, 3 gang of 2 cores after 0 |
 
-    # One organisation sent many times its usual, and the jobs of all others waited behind it.
-    Scenario: What one organisation submits beyond its share makes no other one late
+    # Guards against a burst of submissions by one organisation that delays the jobs of all others.
+    Scenario: Submissions beyond an organisation's share do not delay other organisations
         Given a cell of 3 daemons and 4 workers for the organisations "north 0, south 0" with the weights "2, 8" and the order "shares"
         When jobs of steps "4" come for 6000 ms, each 30 ms for "north" and each 250 ms for "south"
         And the shard runs for 5000 ms
-        Then 22 of 24 jobs of "south" at least ended within 2200 ms of their submission
+        Then at least 22 of 24 jobs of "south" ended within 2200 ms of their submission
         And no promise was broken
--- a/features/steps/decodingSteps.ts
+++ b/features/steps/decodingSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about stored rows that cannot be decoded. */
+
 import { Then, When } from "@cucumber/cucumber";
 import { jobIdOf, readSteps, type ShardCell } from "@puffinarch/stand-ins";
 import fc from "fast-check";
@@ -40,18 +42,19 @@
 );
 
 const part = "shard-0";
-const strangeId = jobIdOf(0xab);
+/** Job of the unreadable rows. */
+const unreadableJobId = jobIdOf(0xab);
 
-/** Another job's submission, under an id of its own. */
+/** The stored submission of another job, with its id replaced by that of the unreadable job. */
 const submissionText = (cell: ShardCell): string => {
     const row = cell.store.rows(journalTable).find(({ key }) => key.startsWith("job/"));
     assert.ok(row?.value !== undefined, "no job is stored");
-    return row.value.replaceAll(row.key.slice("job/".length), strangeId);
+    return row.value.replaceAll(row.key.slice("job/".length), unreadableJobId);
 };
 
-type StrangeRow = RowKey & { readonly value: string; };
+type UnreadableRow = RowKey & { readonly value: string; };
 
-const strangeRows: Readonly<Record<string, (cell: ShardCell) => readonly StrangeRow[]>> = {
+const unreadableRows: Readonly<Record<string, (cell: ShardCell) => readonly UnreadableRow[]>> = {
     "a worker": () =>
         ["{", "null", "7", "{}", "[]"].map((value, index) => ({
             table: "workers",
@@ -65,14 +68,19 @@
     "a daemon": () => [{ table: memberTable, part: "", key: "entry-9", value: '{"memberId":"entry-9"}' }],
     "an owner": () => [{ table: ownerTable, part, key: ownerKey, value: '{"claimId":4}' }],
     "a job": () => [
-        { table: journalTable, part, key: `job/${strangeId}`, value: '{"submission":{}}' },
-        { table: journalTable, part, key: `state/${strangeId}`, value: '{"state":"running","done":[],"open":[]}' },
+        { table: journalTable, part, key: `job/${unreadableJobId}`, value: '{"submission":{}}' },
+        {
+            table: journalTable,
+            part,
+            key: `state/${unreadableJobId}`,
+            value: '{"state":"running","done":[],"open":[]}',
+        },
     ],
     "a state of a job": cell => [
-        { table: journalTable, part, key: `job/${strangeId}`, value: submissionText(cell) },
-        { table: journalTable, part, key: `state/${strangeId}`, value: '{"state":"running","done":7}' },
+        { table: journalTable, part, key: `job/${unreadableJobId}`, value: submissionText(cell) },
+        { table: journalTable, part, key: `state/${unreadableJobId}`, value: '{"state":"running","done":7}' },
     ],
-    "an ended job": () => [{ table: endedTable, part, key: strangeId, value: '{"state":"constructor"}' }],
+    "an ended job": () => [{ table: endedTable, part, key: unreadableJobId, value: '{"state":"constructor"}' }],
     "the VMs of a wave": () => [
         { table: upkeepTable, part, key: "9", value: "[7]" },
         {
@@ -88,15 +96,15 @@
     const cell = cellOf(this);
     cell.submit(jobIdOf(0xcd), readSteps("1 long running"));
     await cell.clock.advance(500);
-    const rows = strangeRows[what] ?? assert.fail(`no row is named ${what}`);
+    const rows = unreadableRows[what] ?? assert.fail(`no unreadable row is named ${what}`);
     for (const row of rows(cell)) {
         cell.store.putText(row);
     }
 });
 
-Then("an unreadable row was logged once by each owner or daemon that met it", function(this: ScenarioWorld) {
+Then("an unreadable row was logged once by each owner or daemon that read it", function(this: ScenarioWorld) {
     const lines = cellOf(this).log.filter(({ event }) => event === "rowUnreadable");
-    assert.ok(lines.length > 0, "nobody has logged any");
+    assert.ok(lines.length > 0, "no unreadable row was logged");
     const names = lines.map(({ memberId, fields }) => `${memberId} ${fields["key"]} ${fields["version"]}`);
     assert.deepEqual(names, [...new Set(names)]);
 });
@@ -104,17 +112,18 @@
 Then("the first worker has started nothing", function(this: ScenarioWorld) {
     const cell = cellOf(this);
     const [first] = cell.workers.workerIds();
-    const standing = jobIdOf(0xcd);
+    const earlierJob = jobIdOf(0xcd);
     const started = cell.workers.evidence.filter(({ workerId, taskName }) =>
-        workerId === first && !taskName.startsWith(standing)
+        workerId === first && !taskName.startsWith(earlierJob)
     );
     assert.deepEqual(started, []);
 });
 
-/** A row of each kind that can be read, and how it is. */
-interface Kind {
+/** A readable row of one kind, and the function that decodes it. */
+interface RowKind {
     readonly key: string;
-    readonly whole: unknown;
+    /** The row's value before it is written as JSON. */
+    readonly valid: unknown;
     readonly decode: (row: Row) => Decoded<unknown>;
 }
 
@@ -140,7 +149,7 @@
 const member = { memberId: "entry-1", address: "http://10.0.0.1:7720", dataCentre: "d", incarnation: "9", strength: 1 };
 const submission = {
     submission: {
-        jobId: strangeId,
+        jobId: unreadableJobId,
         queueKey: "h/a/",
         dataCentre: "d",
         payload: "plan",
@@ -155,22 +164,22 @@
     order: 1,
 };
 
-const failure = { cause: "crashes", taskName: `${strangeId}.1.0.2`, count: 3 };
+const failure = { cause: "crashes", taskName: `${unreadableJobId}.1.0.2`, count: 3 };
 
-const kinds: Readonly<Record<string, Kind>> = {
-    worker: { key: "i-1", whole: executor, decode: readWorker },
+const kinds: Readonly<Record<string, RowKind>> = {
+    worker: { key: "i-1", valid: executor, decode: readWorker },
     configuration: {
         key: "config",
-        whole: { version: 7, routes: [route], limits: { max_body_bytes: 1 } },
+        valid: { version: 7, routes: [route], limits: { max_body_bytes: 1 } },
         decode: readConfiguration,
     },
-    wave: { key: "wave/3", whole: { wave: 3, machines: ["m-1"], deadline_s: 20, cap: 1 }, decode: readWave },
-    member: { key: "entry-1", whole: member, decode: decodeMember },
-    owner: { key: ownerKey, whole: { ...member, claimId: "c", shortOffices: 1 }, decode: decodeOwner },
-    submission: { key: `job/${strangeId}`, whole: submission, decode: row => decodeRow(row, submissionSchema) },
+    wave: { key: "wave/3", valid: { wave: 3, machines: ["m-1"], deadline_s: 20, cap: 1 }, decode: readWave },
+    member: { key: "entry-1", valid: member, decode: decodeMember },
+    owner: { key: ownerKey, valid: { ...member, claimId: "c", shortOffices: 1 }, decode: decodeOwner },
+    submission: { key: `job/${unreadableJobId}`, valid: submission, decode: row => decodeRow(row, submissionSchema) },
     state: {
-        key: `state/${strangeId}`,
-        whole: {
+        key: `state/${unreadableJobId}`,
+        valid: {
             state: "running",
             done: [0],
             open: [[1, [[0, 0, [1, 0, [2, 1, "saved", [["i-1", 2]]]]]]]],
@@ -181,33 +190,33 @@
         },
         decode: row => decodeRow(row, stateSchema),
     },
-    ended: { key: strangeId, whole: { state: "failed", failure }, decode: row => decodeRow(row, endedSchema) },
+    ended: { key: unreadableJobId, valid: { state: "failed", failure }, decode: row => decodeRow(row, endedSchema) },
 };
 
-/** Puts a value in place of one part of a JSON value, or leaves the part out. */
-const mutate = (value: unknown, path: readonly number[], put: unknown, leaveOut: boolean): unknown => {
-    const [place, ...rest] = path;
-    if (place === undefined || typeof value !== "object" || value === null || Object.keys(value).length === 0) {
-        return put;
+/** Replaces one part of a JSON value by another value, or removes the part. */
+const mutate = (value: unknown, path: readonly number[], replacement: unknown, remove: boolean): unknown => {
+    const [position, ...rest] = path;
+    if (position === undefined || typeof value !== "object" || value === null || Object.keys(value).length === 0) {
+        return replacement;
     }
     const keys = Object.keys(value);
-    const key = keys[place % keys.length] ?? "";
+    const key = keys[position % keys.length] ?? "";
     const copy = structuredClone(value) as Record<string, unknown>;
-    // JSON leaves out what is undefined.
-    copy[key] = leaveOut && rest.length === 0 ? undefined : mutate(copy[key], rest, put, leaveOut);
+    // JSON.stringify leaves out properties that are undefined.
+    copy[key] = remove && rest.length === 0 ? undefined : mutate(copy[key], rest, replacement, remove);
     return copy;
 };
 
-/** Types that no field of an entry may have, at any depth; a field that is left out is well. */
-const isWhole = (entry: unknown): boolean => {
+/** Whether no field of an entry, at any depth, is null or a number that is not finite; fields may be missing. */
+const isWellFormed = (entry: unknown): boolean => {
     if (entry === null || typeof entry === "number" && !Number.isFinite(entry)) {
         return false;
     }
     return typeof entry !== "object"
-        || Object.values(entry as object).every(each => each === undefined || isWhole(each));
+        || Object.values(entry as object).every(each => each === undefined || isWellFormed(each));
 };
 
-/** The type of each field of an entry, by its path. */
+/** Type of each field of an entry, by the field's path. */
 const typesOf = (entry: unknown, path = ""): ReadonlyMap<string, string> => {
     if (typeof entry !== "object" || entry === null) {
         return new Map([[path, typeof entry]]);
@@ -217,17 +226,17 @@
 };
 
 Then(
-    "{int} mutations of a {string} row with seed {int} throw nothing and give whole entries only",
+    "{int} mutations of a {string} row with seed {int} throw nothing and give well-formed entries only",
     (runs: number, name: string, seed: number) => {
-        const { key, whole, decode } = kinds[name] ?? assert.fail(`no kind is named ${name}`);
-        const first = decode(rowOf(key, JSON.stringify(whole)));
+        const { key, valid, decode } = kinds[name] ?? assert.fail(`no kind of row is named ${name}`);
+        const first = decode(rowOf(key, JSON.stringify(valid)));
         assert.equal(first.kind, "entry");
         const expected = typesOf(first.kind === "entry" ? first.entry : undefined);
         const texts = fc.oneof(
-            fc.tuple(fc.array(fc.nat(9), { maxLength: 6 }), fc.jsonValue(), fc.boolean()).map(([path, put, leaveOut]) =>
-                JSON.stringify(mutate(whole, path, put, leaveOut))
-            ),
-            fc.nat(400).map(length => JSON.stringify(whole).slice(0, length)),
+            fc.tuple(fc.array(fc.nat(9), { maxLength: 6 }), fc.jsonValue(), fc.boolean()).map((
+                [path, replacement, remove],
+            ) => JSON.stringify(mutate(valid, path, replacement, remove))),
+            fc.nat(400).map(length => JSON.stringify(valid).slice(0, length)),
             fc.string(),
         );
         let entries = 0;
@@ -239,8 +248,8 @@
                     return;
                 }
                 entries += 1;
-                assert.ok(isWhole(decoded.entry), JSON.stringify(decoded.entry));
-                // Lists of unions may change a part's type within what is allowed; everything else keeps it.
+                assert.ok(isWellFormed(decoded.entry), JSON.stringify(decoded.entry));
+                // The lists in a job's state allow several types for one element; all other fields must keep their type.
                 if (name !== "state") {
                     for (const [path, type] of typesOf(decoded.entry)) {
                         const known = expected.get(path);
@@ -250,6 +259,6 @@
             }),
             { seed, numRuns: runs },
         );
-        assert.ok(entries > 0, "no mutation left an entry");
+        assert.ok(entries > 0, "no mutated row could be decoded");
     },
 );
--- a/features/steps/machineSteps.ts
+++ b/features/steps/machineSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about the simulated workers and upstreams, and about the adapters through which workers are called. */
+
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
     createFakeClock,
@@ -18,9 +20,11 @@
     readonly worker: WorkerStandIn;
     port: WorkerPort;
     address: string;
+    /** Time from which a start order is too old. */
     startBeforeMs: number;
     outcome: StartOutcome | undefined;
     upstream: UpstreamStandIn;
+    /** Answers of the upstream; undefined for each refused request. */
     answers: readonly (string | undefined)[];
 }
 
@@ -145,27 +149,32 @@
     assert.deepEqual(report.ended.map(each => each.outcome), [outcome]);
 });
 
-Then("the worker shows nothing", async function(this: ScenarioWorld) {
+Then("the worker reports no attempt", async function(this: ScenarioWorld) {
     const report = await poll(part(this), 0, []);
     assert.equal(report.ended.length + report.running.length, 0);
 });
 
-Then("a poll that has seen it tells only what changed since", async function(this: ScenarioWorld) {
+Then("a poll from the seen version on reports only what changed since", async function(this: ScenarioWorld) {
     const state = part(this);
     const first = await poll(state, 0, []);
     const seen = { bootId: first.bootId, version: first.version };
-    const same = await state.worker.poll({ seen, leaseMs: 0, acknowledge: [], waitMs: 0 });
-    assert.deepEqual([first.complete, first.running.length, same.complete, same.running.length], [true, 1, false, 0]);
+    const unchanged = await state.worker.poll({ seen, leaseMs: 0, acknowledge: [], waitMs: 0 });
+    assert.deepEqual([first.complete, first.running.length, unchanged.complete, unchanged.running.length], [
+        true,
+        1,
+        false,
+        0,
+    ]);
     state.worker.stop([{ attemptId: "a1", checkpoint: false }]);
-    const after = await state.worker.poll({ seen, leaseMs: 0, acknowledge: [], waitMs: 0 });
-    assert.deepEqual(after.gone, ["a1"]);
-    const other = await state.worker.poll({
+    const changed = await state.worker.poll({ seen, leaseMs: 0, acknowledge: [], waitMs: 0 });
+    assert.deepEqual(changed.gone, ["a1"]);
+    const otherBoot = await state.worker.poll({
         seen: { bootId: "earlier", version: 99 },
         leaseMs: 0,
         acknowledge: [],
         waitMs: 0,
     });
-    assert.equal(other.complete, true);
+    assert.equal(otherBoot.complete, true);
 });
 
 Given("an upstream", function(this: ScenarioWorld) {
--- a/features/steps/quotaSteps.ts
+++ b/features/steps/quotaSteps.ts
@@ -8,9 +8,11 @@
 import { partOf, type ScenarioWorld } from "./support.js";
 
 interface Quotas {
+    /** Ids of the jobs of each organisation. */
     readonly jobsOf: Map<string, string[]>;
     gangId: string;
     gangAtMs: number;
+    /** Ids of the jobs that were submitted together last. */
     newestJobs: readonly string[];
     readonly submittedAtMs: Map<string, number>;
 }
@@ -22,8 +24,8 @@
         () => ({ jobsOf: new Map(), gangId: "", gangAtMs: 0, newestJobs: [], submittedAtMs: new Map() }),
     );
 
-/** Reads organisations with their caps in cores, such as "north 6, south 0"; 0 is no cap. */
-const readOrganisations = (text: string): readonly Organisation[] =>
+/** Parses organisations with their caps in cores, such as "north 6, south 0"; 0 stands for no cap. */
+const parseOrganisations = (text: string): readonly Organisation[] =>
     text.split(", ").map(each => {
         const [name = "", cores] = each.split(" ");
         const cap = { cpuMillis: 1_000 * Number(cores), memoryMib: 0, accelerators: 0 };
@@ -32,14 +34,14 @@
 
 const laterQueue = { ...testQueue, key: "stages.example/later/", pathPrefix: "/later/", priority: 2 };
 
-const nextId = (world: ScenarioWorld): string => {
+const nextJobId = (world: ScenarioWorld): string => {
     const { jobsOf } = quotas(world);
     return jobIdOf(1 + [...jobsOf.values()].reduce((sum, jobs) => sum + jobs.length, 0));
 };
 
 const submitFor = (world: ScenarioWorld, organisation: string, steps: string, queueKey?: string): string => {
     const { jobsOf } = quotas(world);
-    const jobId = nextId(world);
+    const jobId = nextJobId(world);
     jobsOf.set(organisation, [...jobsOf.get(organisation) ?? [], jobId]);
     part(world).jobs.push(jobId);
     cellOf(world).submitFor(organisation, jobId, readSteps(steps), queueKey);
@@ -64,7 +66,7 @@
 Given(
     "a cell of {int} daemons and {int} workers for the organisations {string}",
     async function(this: ScenarioWorld, members: number, workers: number, organisations: string) {
-        await startCell(this, { members, workers, seed: 1, organisations: readOrganisations(organisations) });
+        await startCell(this, { members, workers, seed: 1, organisations: parseOrganisations(organisations) });
     },
 );
 
@@ -77,7 +79,7 @@
             seed: 1,
             durationMs: "estimated",
             queues: [testQueue, laterQueue],
-            organisations: readOrganisations(organisations),
+            organisations: parseOrganisations(organisations),
         });
     },
 );
@@ -92,7 +94,7 @@
         weights: string,
         order: string,
     ) {
-        const organisations = readOrganisations(text).map((organisation, index) => ({
+        const organisations = parseOrganisations(text).map((organisation, index) => ({
             ...organisation,
             weight: Number(weights.split(", ")[index]),
         }));
@@ -108,28 +110,28 @@
         this: ScenarioWorld,
         steps: string,
         forMs: number,
-        hotEachMs: number,
-        hot: string,
+        burstEachMs: number,
+        burst: string,
         eachMs: number,
         other: string,
     ) {
         const { clock } = cellOf(this);
         const submittedAtMs = quotas(this).submittedAtMs;
-        const stepMs = 10;
-        for (let passedMs = 0; passedMs < forMs; passedMs += stepMs) {
-            if (passedMs % hotEachMs === 0) {
-                submitFor(this, hot, steps);
+        const tickMs = 10;
+        for (let passedMs = 0; passedMs < forMs; passedMs += tickMs) {
+            if (passedMs % burstEachMs === 0) {
+                submitFor(this, burst, steps);
             }
             if (passedMs % eachMs === 0) {
                 submittedAtMs.set(submitFor(this, other, steps), clock.monotonicMs());
             }
-            await clock.advance(stepMs);
+            await clock.advance(tickMs);
         }
     },
 );
 
 Then(
-    "{int} of {int} jobs of {string} at least ended within {int} ms of their submission",
+    "at least {int} of {int} jobs of {string} ended within {int} ms of their submission",
     function(this: ScenarioWorld, least: number, all: number, organisation: string, withinMs: number) {
         const jobs = quotas(this).jobsOf.get(organisation) ?? [];
         assert.equal(jobs.length, all);
@@ -141,7 +143,7 @@
             const submittedAtMs = quotas(this).submittedAtMs.get(jobId) ?? 0;
             return ends.length > 0 && Math.max(...ends) - submittedAtMs <= withinMs;
         });
-        assert.ok(inTime.length >= least, `${inTime.length} did`);
+        assert.ok(inTime.length >= least, `${inTime.length} jobs did`);
     },
 );
 
@@ -186,7 +188,7 @@
     const { gangId, gangAtMs } = quotas(this);
     const starts = cellOf(this).workers.evidence.filter(({ taskName }) => taskName.startsWith(gangId));
     const firstMs = Math.min(...starts.map(({ startedAtMs }) => startedAtMs)) - gangAtMs;
-    assert.ok(firstMs <= limitMs, `it started after ${firstMs} ms`);
+    assert.ok(firstMs <= limitMs, `the gang started after ${firstMs} ms`);
 });
 
 Then(
@@ -200,7 +202,8 @@
     },
 );
 
-const atOnce = (world: ScenarioWorld, organisation: string): number => {
+/** The most tasks of an organisation that ran at the same time. */
+const mostAtOnce = (world: ScenarioWorld, organisation: string): number => {
     const jobs = new Set(quotas(world).jobsOf.get(organisation));
     const all = cellOf(world).workers.evidence.filter(({ taskName }) => jobs.has(taskName.split(".")[0] ?? ""));
     return Math.max(
@@ -212,10 +215,10 @@
 };
 
 Then(
-    "{int} tasks of {string} at most ran at once, and {int} did",
+    "at most {int} tasks of {string} ran at once, and {int} did",
     function(this: ScenarioWorld, most: number, organisation: string, did: number) {
-        assert.ok(atOnce(this, organisation) <= most, `${atOnce(this, organisation)} did`);
-        assert.equal(atOnce(this, organisation), did);
+        assert.ok(mostAtOnce(this, organisation) <= most, `${mostAtOnce(this, organisation)} tasks ran at once`);
+        assert.equal(mostAtOnce(this, organisation), did);
     },
 );
 
@@ -227,7 +230,7 @@
     assert.equal(running.length, count);
 });
 
-Then("no task of the last {int} jobs was asked advice for", function(this: ScenarioWorld, count: number) {
+Then("the advisor was asked about no task of the last {int} jobs", function(this: ScenarioWorld, count: number) {
     const { newestJobs } = quotas(this);
     assert.equal(newestJobs.length, count);
     const asked = cellOf(this).log.filter(({ event, fields }) =>
@@ -244,11 +247,11 @@
     assert.deepEqual(stopped, []);
 });
 
-Then("the log names {string} as what tasks wait for", function(this: ScenarioWorld, wait: string) {
+Then("the log names {string} as the reason why tasks wait", function(this: ScenarioWorld, reason: string) {
     const lines = cellOf(this).log.filter(({ event }) => event === "taskWaits").map(({ fields }) =>
         String(fields["lateSteps"])
     );
-    assert.ok(lines.some(line => line.includes(`${wait} `)), lines.join("; "));
+    assert.ok(lines.some(line => line.includes(`${reason} `)), lines.join("; "));
 });
 
 When(
--- a/features/steps/usersPlatformSteps.ts
+++ b/features/steps/usersPlatformSteps.ts
@@ -1,3 +1,5 @@
+/** Steps about the adapter to the users' platform: its HTTP calls, the rows that it decodes and the API for callers. */
+
 import { Given, Then, When } from "@cucumber/cucumber";
 import { testQueue } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
@@ -33,6 +35,7 @@
 
 interface Part {
     address: string;
+    /** Requests that the service received. */
     sent: {
         readonly method: string;
         readonly path: string;
@@ -43,6 +46,7 @@
     look: string;
     status: number;
     text: string;
+    /** Lines that the API for callers has logged. */
     readonly logged: string[];
     configuration: CellConfiguration | undefined;
     worker: WorkerEntry | undefined;
@@ -90,7 +94,7 @@
     });
 };
 
-const callerOf = (world: ScenarioWorld) => {
+const httpCallerOf = (world: ScenarioWorld) => {
     const http = createHttpCaller({ timeoutMs: 5_000, connectionsPerHost: 1, meter: createMeter() });
     world.closers.push(() => http.close());
     return http;
@@ -110,7 +114,7 @@
 });
 
 When("a run is started through the adapter", async function(this: ScenarioWorld) {
-    const workers = createPlatformWorkers(callerOf(this));
+    const workers = createPlatformWorkers(httpCallerOf(this));
     part(this).outcome = await workers.start({ workerId: "i-1", address: part(this).address }, {
         taskName: "5c0e7a21d94b36f8.0.1.17",
         run: 2,
@@ -123,7 +127,7 @@
 });
 
 When("a worker is looked at through the adapter", async function(this: ScenarioWorld) {
-    const workers = createPlatformWorkers(callerOf(this));
+    const workers = createPlatformWorkers(httpCallerOf(this));
     const look = await workers.look({ workerId: "i-1", address: part(this).address }, {
         fencingToken: 7,
         acknowledgedEnd: 57,
@@ -137,7 +141,7 @@
 const row = { table: "t", part: "p", key: "k" };
 
 When("a row is written through the adapter", async function(this: ScenarioWorld) {
-    const store = createPlatformStore(callerOf(this), `http://${part(this).address}`);
+    const store = createPlatformStore(httpCallerOf(this), `http://${part(this).address}`);
     const result = await store.transact({
         expect: [{ ...row, version: 3 }],
         puts: [{ ...row, value: '{"a":1}' }],
@@ -147,13 +151,14 @@
 });
 
 When("the changes of a table are read through the adapter", async function(this: ScenarioWorld) {
-    const store = createPlatformStore(callerOf(this), `http://${part(this).address}`);
+    const store = createPlatformStore(httpCallerOf(this), `http://${part(this).address}`);
     part(this).outcome = (await store.changes("t", 1, 100)).kind;
 });
 
 const entryOf = <T>(decoded: Decoded<T>): T | undefined => decoded.kind === "entry" ? decoded.entry : undefined;
 
-const machinesOf = (world: ScenarioWorld) => createPlatformMachines(callerOf(world), `http://${part(world).address}`);
+const machinesOf = (world: ScenarioWorld) =>
+    createPlatformMachines(httpCallerOf(world), `http://${part(world).address}`);
 
 When("the upkeep of a VM is ordered through the adapter", async function(this: ScenarioWorld) {
     part(this).outcome = await machinesOf(this).upkeep({
@@ -180,11 +185,11 @@
     assert.deepEqual(waveStateRow(wave, "completed"), JSON.parse(row));
 });
 
-Then("the adapter says {string}", function(this: ScenarioWorld, outcome: string) {
+Then("the adapter returns {string}", function(this: ScenarioWorld, outcome: string) {
     assert.equal(part(this).outcome, outcome);
 });
 
-Then("the look is {string}", function(this: ScenarioWorld, look: string) {
+Then("the decoded look is {string}", function(this: ScenarioWorld, look: string) {
     assert.deepEqual(JSON.parse(part(this).look), JSON.parse(look));
 });
 
@@ -246,12 +251,12 @@
     [failedJob]: { state: "failed", failure: { cause: "crashes", taskName: `${failedJob}.0.0.1`, count: 3 } },
 };
 
-/** A queue that asks for a key and one that does not, and the organisation whose callers have one. */
+/** A queue that accepts calls without a key, and an organisation whose callers have a key. */
 const publicQueue = { ...testQueue, key: "stages.example/open/", pathPrefix: "/open/", isPublic: true };
 const northKey = "north-key-of-its-callers";
 const organisations = [{ name: "north", keyDigests: [digestKey(northKey)], weight: 1, cap: noResources }];
 
-/** A member that knows one job, and refuses another. */
+/** A member that accepts the submission of one job only, and knows the states of that job and of a failed one. */
 const fakeMember = (keys: CallerKeys): CellMember => ({
     dataCentre: "leon-feria",
     configuration: () => ({
@@ -276,7 +281,7 @@
     close: () => {},
 });
 
-const serveCallers = async (world: ScenarioWorld, keys: CallerKeys): Promise<void> => {
+const serveCallersApi = async (world: ScenarioWorld, keys: CallerKeys): Promise<void> => {
     const callers = createCallers({
         member: fakeMember(keys),
         log: { write: (...line) => part(world).logged.push(JSON.stringify(line)) },
@@ -288,31 +293,31 @@
     world.closers.push(() => callers.close());
 };
 
-Given("the callers' side of a daemon", async function(this: ScenarioWorld) {
-    await serveCallers(this, createCallerKeys({}));
+Given("the API for callers of a daemon", async function(this: ScenarioWorld) {
+    await serveCallersApi(this, createCallerKeys({}));
 });
 
-Given("the callers' side of a daemon that tells organisations apart", async function(this: ScenarioWorld) {
-    await serveCallers(this, createCallerKeys({ organisations }));
+Given("the API for callers of a daemon with organisations", async function(this: ScenarioWorld) {
+    await serveCallersApi(this, createCallerKeys({ organisations }));
 });
 
 When(
     /^a caller with (the key of north|the key "[^"]*"|no key) sends "([^"]*)" to "([^"]*)" with '([^']*)'$/,
     async function(this: ScenarioWorld, key: string, method: string, path: string, body: string) {
         const sent = key === "no key" ? undefined : key === "the key of north" ? northKey : key.slice(9, -1);
-        const answer = await fetchFrom(part(this).address, method, path, body, sent);
+        const answer = await sendRequest(part(this).address, method, path, body, sent);
         part(this).status = answer.status;
         part(this).text = answer.text;
     },
 );
 
 Then("neither the answer nor the log has a part of the key {string}", function(this: ScenarioWorld, key: string) {
-    const told = [part(this).text, ...part(this).logged].join("\n");
+    const disclosed = [part(this).text, ...part(this).logged].join("\n");
     assert.ok(part(this).logged.length > 0);
-    assert.ok(!told.includes(key.slice(0, 6)), told);
+    assert.ok(!disclosed.includes(key.slice(0, 6)), disclosed);
 });
 
-/** The head of a request whose body does not come. */
+/** Sends a request without its body, to show that the server answers before it reads one. */
 When(
     "a caller without a known key sends the head of a request and no body",
     async function(this: ScenarioWorld) {
@@ -356,14 +361,14 @@
 When(
     "a caller sends {string} to {string} with {string}",
     async function(this: ScenarioWorld, method: string, path: string, body: string) {
-        const answer = await fetchFrom(part(this).address, method, path, body);
+        const answer = await sendRequest(part(this).address, method, path, body);
         part(this).status = answer.status;
         part(this).text = answer.text;
     },
 );
 
-/** Node's fetch does not send another `Host`, which selects the queue. */
-const fetchFrom = async (
+/** Sends a request with the test queue's `Host` header, which selects the queue and which Node's fetch does not let callers set. */
+const sendRequest = async (
     address: string,
     method: string,
     path: string,
--- a/features/usersPlatform.feature
+++ b/features/usersPlatform.feature
@@ -3,7 +3,7 @@
     Scenario Outline: A worker answers a start with <status> <body>
         Given a service that answers <status> with '<body>'
         When a run is started through the adapter
-        Then the adapter says "<outcome>"
+        Then the adapter returns "<outcome>"
         And the service was sent a "POST" to "/-/run-start" with '{"task":"5c0e7a21d94b36f8.0.1.17","run":2,"spec":"plan","deadline_ms":9000,"fencing_token":7,"ticket":"t"}'
         And the header "x-expected-instance" was "i-1"
 
@@ -25,7 +25,7 @@
     Scenario Outline: The platform answers an upkeep order with <status> <body>
         Given a service that answers <status> with '<body>'
         When the upkeep of a VM is ordered through the adapter
-        Then the adapter says "<outcome>"
+        Then the adapter returns "<outcome>"
         And the service was sent a "POST" to "/-/machine-upkeep" with '{"machine":"m-1","wave":3}'
         And the header "x-fencing-token" was "7"
         And the header "x-lease-holder" was "entry-1/5"
@@ -45,12 +45,12 @@
     Scenario: An upkeep order without an answer may have been carried out
         Given a service that closes every connection
         When the upkeep of a VM is ordered through the adapter
-        Then the adapter says "unknown"
+        Then the adapter returns "unknown"
 
     Scenario Outline: The platform's list of machines is answered with <status> <body>
         Given a service that answers <status> with '<body>'
         When the VMs are listed through the adapter
-        Then the adapter says '<listed>'
+        Then the adapter returns '<listed>'
 
         Examples:
             | status | body                                                                                         | listed                                                                                               |
@@ -63,24 +63,24 @@
         And the wave in the operator's row "config" with '{"version":1}' is "none"
         And the operator reads the state of wave 3 in '{"table":"status","part":"","key":"wave/3","value":"{\\"wave\\":3,\\"state\\":\\"completed\\"}"}'
 
-    Scenario: A worker that is gone may have carried out a start
+    Scenario: A start whose connection is closed without an answer may have been carried out
         Given a service that closes every connection
         When a run is started through the adapter
-        Then the adapter says "unknown"
+        Then the adapter returns "unknown"
 
-    Scenario: A look is decoded into what each place of its rows holds
+    Scenario: Each element of the rows in a look is decoded into its field
         Given a service that answers 200 with '{"clock_ms":5,"running":[["a.0.0.0",2,"saved",40,1300]],"ended":[[58,"a.0.0.9",1,"done",""]]}'
         When a worker is looked at through the adapter
-        Then the look is '{"outcome":"done","clockMs":5,"running":[{"taskName":"a.0.0.0","run":2,"checkpoint":"saved","percent":40,"figure":1300}],"ended":[{"endNumber":58,"taskName":"a.0.0.9","run":1,"how":"done","checkpoint":""}]}'
+        Then the decoded look is '{"outcome":"done","clockMs":5,"running":[{"taskName":"a.0.0.0","run":2,"checkpoint":"saved","percent":40,"figure":1300}],"ended":[{"endNumber":58,"taskName":"a.0.0.9","run":1,"how":"done","checkpoint":""}]}'
         And the service was sent a "POST" to "/-/hold" with '{"fencing_token":7,"seen_upto":57,"deadline_ms":9000,"wait_ms":100}'
 
-    Scenario Outline: A look says which life of the worker answers, where the platform tells lives apart: <born>
+    Scenario Outline: A look holds when the answering incarnation of the worker began, if the platform sends it: <born>
         Given a service that answers 200 with '{"clock_ms":5,"born":<born>,"running":[],"ended":[]}'
         When a worker is looked at through the adapter
-        Then the look is '{"outcome":"done","clockMs":5,<life>"running":[],"ended":[]}'
+        Then the decoded look is '{"outcome":"done","clockMs":5,<decoded>"running":[],"ended":[]}'
 
         Examples:
-            | born          | life                       |
+            | born          | decoded                    |
             | 1768565282669 | "bornAtMs":1768565282669,  |
             | null          |                            |
             | "early"       |                            |
@@ -88,7 +88,7 @@
     Scenario Outline: The store answers a transaction with <status>
         Given a service that answers <status> with '<body>'
         When a row is written through the adapter
-        Then the adapter says "<outcome>"
+        Then the adapter returns "<outcome>"
         And the service was sent a "POST" to "/-/rows-tx" with '{"expect":[{"table":"t","part":"p","key":"k","schema_ver":3}],"puts":[{"table":"t","part":"p","key":"k","value":"eyJhIjoxfQ=="}],"remove":[]}'
 
         Examples:
@@ -102,17 +102,17 @@
     Scenario: A transaction whose answer is lost may have taken effect
         Given a service that closes every connection
         When a row is written through the adapter
-        Then the adapter says "unknown"
+        Then the adapter returns "unknown"
 
-    Scenario: A transaction that nobody could accept surely had no effect
+    Scenario: A transaction that could not connect to the store had no effect
         Given a service that does not listen
         When a row is written through the adapter
-        Then the adapter says "refused"
+        Then the adapter returns "refused"
 
-    Scenario: A feed whose history is gone says so
+    Scenario: A feed reports that its history is lost
         Given a service that answers 410 with '{}'
         When the changes of a table are read through the adapter
-        Then the adapter says "historyLost"
+        Then the adapter returns "historyLost"
 
     Scenario: The operator's configuration and an executor's entry are decoded
         When the operator's row is '{"version":7,"routes":[{"name":"r","host":"nony24.example","path_prefix":"/a/","backend":"b1","timeout_ms":3000,"priority":2,"attempts":3,"advice":{"decide_ms":20,"each_ms":1,"valid_ms":2500}}],"limits":{"max_body_bytes":1000}}'
@@ -122,7 +122,7 @@
         And the worker's incarnation began at 1768565282669
 
     Scenario Outline: A caller sends <method> <path>
-        Given the callers' side of a daemon
+        Given the API for callers of a daemon
         When a caller sends "<method>" to "<path>" with '<body>'
         Then the answer is <status> and names '<words>'
 
@@ -151,9 +151,9 @@
             | DELETE | /plans/00000000000000aa    |                                                                | 410    | no such job            |
             | PUT    | /plans/5c0e7a21d94b36f8    | {}                                                             | 405    | GET, POST, DELETE      |
 
-    # Calls with a key that was taken away, or that nobody ever had, were run.
+    # Guards against calls that are carried out with a revoked or invented key.
     Scenario Outline: A caller with <key> sends <method> <path>
-        Given the callers' side of a daemon that tells organisations apart
+        Given the API for callers of a daemon with organisations
         When a caller with <key> sends "<method>" to "<path>" with '<body>'
         Then the answer is <status> and names '<words>'
 
@@ -175,23 +175,23 @@
             | the key "stolen"  | POST   | /open/5c0e7a21d94b36f8  | {"steps":[{"count":1}]} | 401    | not known        |
             | the key "stolen"  | GET    | /other/5c0e7a21d94b36f8 |                         | 404    | no such queue    |
 
-    Scenario: A call without a known key is answered before its body comes
-        Given the callers' side of a daemon that tells organisations apart
+    Scenario: A call without a known key is refused before its body arrives
+        Given the API for callers of a daemon with organisations
         When a caller without a known key sends the head of a request and no body
         Then the answer begins with "HTTP/1.1 401"
 
-    Scenario: No part of a key is told
-        Given the callers' side of a daemon that tells organisations apart
+    Scenario: No part of a key is disclosed
+        Given the API for callers of a daemon with organisations
         When a caller with the key "9m2jju7j7gbzf3akwe7k" sends "GET" to "/plans/5c0e7a21d94b36f8" with ''
         Then neither the answer nor the log has a part of the key "9m2jju7j7gbzf3akwe7k"
 
-    Scenario Outline: An organisation that cannot be read leaves the others in force: <strange>
-        When the operator's row is '{"version":7,"tenants":[{"name":"north","api_keys":["secret-1"],"weight":2,"cap":{"cpu":4000,"mem_mb":0}},<strange>]}'
+    Scenario Outline: An organisation that cannot be read leaves the others in force: <unreadable>
+        When the operator's row is '{"version":7,"tenants":[{"name":"north","api_keys":["secret-1"],"weight":2,"cap":{"cpu":4000,"mem_mb":0}},<unreadable>]}'
         Then the configuration has the organisations "north" and left out "<field>"
         And the configuration holds no key as it was sent
 
         Examples:
-            | strange                                           | field                  |
+            | unreadable                                        | field                  |
             | null                                              | tenants.1              |
             | 7                                                 | tenants.1              |
             | {}                                                | tenants.1.name         |
@@ -202,7 +202,7 @@
             | {"name":"south","cap":{"cpu":-1}}                 | tenants.1.cap.cpu      |
             | {"name":"south","weight":"secret-2"}              | tenants.1.weight       |
 
-    Scenario: A settings file with wrong fields is refused, and each is named
+    Scenario: A settings file with invalid fields is refused, and each field is named
         When the settings "vmId: entry-1\nhost: 10.0.0.1\npeerPorts: [1]\ncallersAddress: here" are read
         Then the refusal names "dataCentre, callersAddress, readinessAddress, peerPorts, storeAddress, metricsPort, bounds"
 
