--- a/features/examples.feature
+++ b/features/examples.feature
@@ -1,4 +1,4 @@
-Feature: The library's examples run
+Feature: Examples of the library's modules
 
     Scenario Outline: The example of <module>
         When the example of "<module>" runs
--- a/features/steps/exampleSteps.ts
+++ b/features/steps/exampleSteps.ts
@@ -1,3 +1,5 @@
+/** Steps that run one example for each module of the library, and check that no module lacks one. */
+
 import { Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
 import { readdirSync } from "node:fs";
--- a/features/steps/examples/shard.ts
+++ b/features/steps/examples/shard.ts
@@ -1,4 +1,4 @@
-/** Examples of the parts of a shard; each is a complete embedding of one module. */
+/** Examples of the modules of a shard; each example uses one module by itself. */
 
 import { shardIncarnationExamples } from "./shardIncarnations.js";
 import { shardJobExamples } from "./shardJobs.js";
--- a/features/steps/examples/shardFixtures.ts
+++ b/features/steps/examples/shardFixtures.ts
@@ -1,18 +1,18 @@
-/** What examples of the parts of a shard share: a job, a task, a run, a worker, an owner. */
+/** Fixtures that the examples of a shard's modules share: a job, a task, a run, a worker, an owner. */
 
 import { plainStep, quietLog, quietMeter, testQueue, workerEntry } from "@puffinarch/stand-ins";
 import { newJob, newRun, newWorker, type ShardJob, type ShardRun } from "puffinarch";
 
-/** The log of each example: none. */
+/** The log of each example; discards all lines. */
 export const log = quietLog;
 
-/** The meter of each example: none. */
+/** The meter of each example; discards all counts. */
 export const meter = quietMeter;
 
-/** The part of the store that the shard of each example has. */
+/** The part of a table that holds the rows of the examples' shard. */
 export const part = "shard-0";
 
-/** The daemon that owns, or wants to own, the shard of an example. */
+/** The daemon that owns or claims the shard of an example. */
 export const owner = {
     memberId: "entry-1",
     address: "http://127.0.0.1:7100",
@@ -32,7 +32,7 @@
 };
 
 /**
- * Gives a job of two steps, as it is once accepted.
+ * Creates a job of two steps that has been accepted.
  *
  * @example
  * const job = exampleJob();
@@ -40,7 +40,7 @@
 export const exampleJob = (): ShardJob => newJob(submission, testQueue, { acceptedAtMs: 0, order: 1 });
 
 /**
- * Gives the first task of a step of a job.
+ * Returns the first task of a step of a job; throws if the job has no such step.
  *
  * @example
  * const task = taskOf(exampleJob());
@@ -54,7 +54,7 @@
 };
 
 /**
- * Gives a worker that is known, with all its room free.
+ * Creates a worker that has answered a look and has all its room free.
  *
  * @example
  * const workers = new Map([["i-1", openWorker()]]);
@@ -67,7 +67,7 @@
 };
 
 /**
- * Gives a run of the first task of a job, at work on a worker.
+ * Creates a run of a job's first task that is at work on worker "i-1".
  *
  * @example
  * const run = runOf(exampleJob());
--- a/features/steps/examples/shardIncarnations.ts
+++ b/features/steps/examples/shardIncarnations.ts
@@ -1,4 +1,4 @@
-/** Examples of the incarnations of workers and what is told from their ends; each is an embedding of one module. */
+/** Examples of the incarnations of workers, their crashes and their lost runs; each example uses one module by itself. */
 
 import { createFakeClock, quietLog, quietMeter } from "@puffinarch/stand-ins";
 import {
@@ -171,14 +171,14 @@
 };
 
 const correlatedCrashes = (): string => {
-    const all = createCorrelatedCrashes();
+    const crashes = createCorrelatedCrashes();
     const first = { workerId: "i-1", bornAtMs: 500 };
     const second = { workerId: "i-2", bornAtMs: 500 };
-    all.note(first, 1_000, []);
-    all.note(second, 1_100, []);
-    all.answered(second);
-    all.answered({ ...first, bornAtMs: 1_200 });
-    return `${all.othersAt(1_050, exampleJob())} worker fell silent`;
+    crashes.note(first, 1_000, []);
+    crashes.note(second, 1_100, []);
+    crashes.answered(second);
+    crashes.answered({ ...first, bornAtMs: 1_200 });
+    return `${crashes.othersAt(1_050, exampleJob())} worker fell silent`;
 };
 
 /** Examples of the modules about incarnations of workers, by the module's name. */
--- a/features/steps/examples/shardJobs.ts
+++ b/features/steps/examples/shardJobs.ts
@@ -1,4 +1,4 @@
-/** Examples of how a shard takes jobs and tells what their tasks wait for; each is an embedding of one module. */
+/** Examples of how a shard accepts jobs and reports what their tasks wait for; each example uses one module by itself. */
 
 import { createFakeClock, plainStep, testQueue } from "@puffinarch/stand-ins";
 import {
@@ -59,16 +59,16 @@
 };
 
 const accounts = (): string => {
-    const all = createAccounts();
+    const accountsByName = createAccounts();
     const cap = { ...noResources, cpuMillis: 4_000 };
-    all.update([{ name: "north", keyDigests: [], weight: 1, cap }]);
-    return `${tasksUnderCap(all.of("north"), { ...noResources, cpuMillis: 1_500 })} tasks`;
+    accountsByName.update([{ name: "north", keyDigests: [], weight: 1, cap }]);
+    return `${tasksUnderCap(accountsByName.of("north"), { ...noResources, cpuMillis: 1_500 })} tasks`;
 };
 
 const callerKeys = (): string => {
     const organisations = [{ name: "north", keyDigests: [digestKey("9m2jju7j")], weight: 1, cap: noResources }];
     const keys = createCallerKeys({ organisations });
-    const stranger = ((): string => {
+    const unknownCaller = ((): string => {
         try {
             return keys.organisationOf(testQueue, "7j9m2jju");
         }
@@ -76,12 +76,12 @@
             return kindOf(error);
         }
     })();
-    return `${keys.organisationOf(testQueue, "9m2jju7j")}, then ${stranger}`;
+    return `${keys.organisationOf(testQueue, "9m2jju7j")}, then ${unknownCaller}`;
 };
 
 const forward = async (): Promise<string> => {
     const clock = createFakeClock();
-    const passing = createForward({
+    const forwarder = createForward({
         clock,
         retryAfterMs: 1_000,
         shard: () => undefined,
@@ -89,10 +89,10 @@
         ownerLostMs: () => clock.monotonicMs(),
         onNoAnswer: () => {},
     });
-    const asked = passing.run({ local: async () => "here", remote: async () => "there", patienceMs: 2_000 })
+    const outcome = forwarder.run({ local: async () => "here", remote: async () => "there", patienceMs: 2_000 })
         .catch((error: unknown) => `${kindOf(error)} after ${clock.monotonicMs()} ms`);
     await clock.advance(3_000);
-    return asked;
+    return outcome;
 };
 
 const taskWait = (): string => {
--- a/features/steps/examples/shardOwners.ts
+++ b/features/steps/examples/shardOwners.ts
@@ -1,4 +1,4 @@
-/** Examples of members and how one of them comes to own a shard; each is an embedding of one module. */
+/** Examples of members and of how one of them claims and owns a shard; each example uses one module by itself. */
 
 import { createFakeClock, createFakeRowStore, createShardCell, type FakeClock, testQueue } from "@puffinarch/stand-ins";
 import {
@@ -268,9 +268,11 @@
 
 const shortOffices = (): string => {
     const previous = { shortOffices: 1 };
-    const busy = countShortOffices({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
-    const lasting = countShortOffices({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
-    return `${patienceFactor({ shortOffices: busy })} times, then ${patienceFactor({ shortOffices: lasting })}`;
+    const replacedSoon = countShortOffices({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
+    const replacedLate = countShortOffices({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
+    return `${patienceFactor({ shortOffices: replacedSoon })} times, then ${
+        patienceFactor({ shortOffices: replacedLate })
+    }`;
 };
 
 /** Examples of the modules about members and owners, by the module's name. */
--- a/features/steps/examples/shardPlacement.ts
+++ b/features/steps/examples/shardPlacement.ts
@@ -1,4 +1,4 @@
-/** Examples of how a shard chooses workers for tasks; each is an embedding of one module. */
+/** Examples of how a shard chooses workers for tasks; each example uses one module by itself. */
 
 import { createFakeClock, plainStep, testQueue, workerEntry } from "@puffinarch/stand-ins";
 import {
@@ -123,8 +123,8 @@
     step.advice.good.set("i-1", { ticket: "t", validUntilMs: 9_000 });
     worker.restsUntilMs = 4_000;
     step.blockedAtMs = isBlocked(step, { workers: new Map([["i-1", worker]]), nowMs: 100 }) ? 100 : undefined;
-    const passed = [100, 1_100, 2_100, 3_100].filter(nowMs => ignoresRests(task, nowMs));
-    return `after ${passed.join(", ")} ms`;
+    const ignoredAtMs = [100, 1_100, 2_100, 3_100].filter(nowMs => ignoresRests(task, nowMs));
+    return `after ${ignoredAtMs.join(", ")} ms`;
 };
 
 const plan = (): string => {
@@ -197,7 +197,7 @@
         lanes: () => [],
         call: () => Promise.reject(new Error("no lane")),
     });
-    const all = createPlacing({
+    const placer = createPlacing({
         clock,
         log,
         meter,
@@ -208,8 +208,8 @@
         onPreempt: () => {},
         wake: () => {},
     });
-    all.consider(job);
-    all.pass();
+    placer.consider(job);
+    placer.pass();
     return planned.join(", ");
 };
 
--- a/features/steps/examples/shardRows.ts
+++ b/features/steps/examples/shardRows.ts
@@ -1,4 +1,4 @@
-/** Examples of the rows that a shard writes to the store and reads there; each is an embedding of one module. */
+/** Examples of the rows that a shard writes to the store and reads from it; each example uses one module by itself. */
 
 import { createFakeClock, createFakeRowStore } from "@puffinarch/stand-ins";
 import {
@@ -147,7 +147,9 @@
     const submission = { jobId: "5c0e7a21d94b36f8", queueKey: "q", payload: "", steps, schedule };
     const queue = { key: "q", host: "h", pathPrefix: "/", service: "s", priority: 0, attempts: 1, timeoutMs: 1 };
     const stored = submissionSchema.parse({ submission, queue, acceptedAtMs: 1, order: 1 });
-    return stored.submission.steps[0]?.longRunning === false && stored.queue.stretch === 0 ? "done with defaults" : "";
+    return stored.submission.steps[0]?.longRunning === false && stored.queue.stretch === 0
+        ? "done with defaults"
+        : "";
 };
 
 const decode = (): string => {
--- a/features/steps/examples/shardWorkers.ts
+++ b/features/steps/examples/shardWorkers.ts
@@ -1,4 +1,4 @@
-/** Examples of how an owner keeps, moves and paces runs on its workers; each is an embedding of one module. */
+/** Examples of how an owner watches, moves and paces runs on its workers; each example uses one module by itself. */
 
 import { createFakeClock, createFakeRowStore, plainStep, testQueue, workerEntry } from "@puffinarch/stand-ins";
 import {
@@ -234,20 +234,20 @@
     const clock = createFakeClock();
     const store = createFakeRowStore(clock);
     store.put("workers", "i-1", workerEntry("i-1", 1));
-    const told: string[] = [];
+    const reported: string[] = [];
     const watch = watchWorkerList({
         clock,
         log,
         store: store.connect("entry-1"),
         table: "workers",
         readWorker: row => row.value === undefined ? undefined : JSON.parse(row.value) as WorkerEntry,
-        onWorkers: entries => told.push(entries.map(entry => entry.workerId).join("+")),
+        onWorkers: entries => reported.push(entries.map(entry => entry.workerId).join("+")),
     });
     await clock.advance(1_000);
     store.remove("workers", "i-1");
     await clock.advance(1_000);
     watch.stop();
-    return told.map(each => each === "" ? "nobody" : each).join(", then ");
+    return reported.map(each => each === "" ? "nobody" : each).join(", then ");
 };
 
 /** Examples of the modules about workers, by the module's name. */
