--- a/features/advisorLanes.feature
+++ b/features/advisorLanes.feature
@@ -51,4 +51,4 @@
             | what                        | each | slow | ms   |
             | none comes                  | 0    | 27   | 600  |
             | few come                    | 50   | 75   | 1600 |
-            | as many as their lanes can take | 10   | 42   | 1100 |
+            | as many as their lanes bear | 10   | 42   | 1100 |
--- a/features/connections.feature
+++ b/features/connections.feature
@@ -53,8 +53,8 @@
 
         Examples:
             | what                               | event                        | lost         |
-            | reaches a process that has ended   | the service ends             | was lost     |
-            | gets no answer on a silent one     | all open connections go silent | was not lost |
+            | meets a process that has ended     | the service ends             | was lost     |
+            | gets no answer over a silent one   | all open connections go silent | was not lost |
 
     Scenario: A call in flight when the process ends reports that its connection was lost
         Given a service with 1 open connections
