--- a/features/exploration.feature
+++ b/features/exploration.feature
@@ -219,8 +219,9 @@
             | 83091 | 50 |
             | 84061 | 50 |
 
-    # Workers do not check starts against their capacity. Starts that had been planned while a worker was larger were sent after it
-    # had shrunk: once the store was back after an outage, or once a silent worker answered again.
+    # Guards against workers that hold more than their capacity because they do not check starts against it. Starts that had been
+    # planned while a worker was larger were sent after it had shrunk: once the store was back after an outage, or once a silent
+    # worker answered again.
     Scenario Outline: No start exceeds the capacity of a worker that has shrunk, with tasks that are <size>, seed <seed>
         When the seed <seed> is explored on a shard whose workers shrink, with tasks that are <size>
         Then nothing went wrong on the shard
--- a/features/keptRoom.feature
+++ b/features/keptRoom.feature
@@ -32,7 +32,7 @@
         Then job "plain" starts within 3000 ms of its submission
         And no promise was broken
 
-    # Callers count a job as lost while none of its tasks runs, so one task is enough to take reserved room. All tasks of a wide step
+    # Callers count a job as lost if nothing of it runs, so one task is enough to take reserved room. All tasks of a wide step
     # at once would hold the reserved room for good.
     Scenario: The tasks of a wide step take room reserved for a gang one at a time
         Given a cell of 3 daemons and 6 workers whose tasks take 20000 ms, with a stretch of 20, seed 1
