--- a/features/steps/examples/shardOwners.ts
+++ b/features/steps/examples/shardOwners.ts
@@ -1,4 +1,4 @@
-/** Examples of members and how one of them comes to own a shard; each is an embedding of one module. */
+/** Examples of members and of how one of them claims and owns a shard; each example uses one module by itself. */
 
 import { createFakeClock, createFakeRowStore, createShardCell, type FakeClock, testQueue } from "@puffinarch/stand-ins";
 import {
@@ -268,9 +268,9 @@
 
 const shortTenures = (): string => {
     const previous = { shortOffices: 1 };
-    const busy = countShortTenures({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
-    const lasting = countShortTenures({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
-    return `${timeoutFactor({ shortOffices: busy })} times, then ${timeoutFactor({ shortOffices: lasting })}`;
+    const replacedSoon = countShortTenures({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
+    const replacedLate = countShortTenures({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
+    return `${timeoutFactor({ shortOffices: replacedSoon })} times, then ${timeoutFactor({ shortOffices: replacedLate })}`;
 };
 
 /** Examples of the modules about members and owners, by the module's name. */
