--- a/features/examples.feature
+++ b/features/examples.feature
@@ -10,7 +10,7 @@
             | placements           | b                                       |
             | upstreamChoices      | u2                                      |
             | taskQueue            | urgent first                            |
-            | rooms                | owner-2                                 |
+            | ownerCapacities      | owner-2                                 |
             | journal              | 2 records replayed                      |
             | membership           | the session is dead                     |
             | ownership            | unit/rack/leon-feria/r1 is owned        |
@@ -47,7 +47,7 @@
             | rackOwner            | running on w1                           |
             | homeRecovery         | recovered                               |
             | attemptOwners        | no owner is known                       |
-            | roomMaker            | 1 less urgent tasks of w1 are stopped for it |
+            | preemptor            | 1 less urgent tasks of w1 are stopped for it |
             | nodeSettings         | leases of 20000 ms                      |
             | adviceDesk           | first, urgent, batch                    |
             | adviceBreadth        | 60, then 80, or 40                      |
--- a/features/steps/examples/decisions.ts
+++ b/features/steps/examples/decisions.ts
@@ -123,7 +123,7 @@
     upstreamChoices: upstreamChoice,
     homeState,
     taskQueue,
-    rooms,
+    ownerCapacities: rooms,
     jobSpec,
     configurationDocument,
 };
--- a/features/steps/examples/ownership.ts
+++ b/features/steps/examples/ownership.ts
@@ -495,7 +495,7 @@
 export const ownershipExamples = {
     homeRecovery,
     attemptOwners,
-    roomMaker,
+    preemptor: roomMaker,
     nodeSettings,
     session,
     deputy,
--- a/packages/puffinarch/src/core/home.ts
+++ b/packages/puffinarch/src/core/home.ts
@@ -31,8 +31,8 @@
 import type { Journal } from "./journal.js";
 import type { Membership } from "./membership.js";
 import { recordForOutcome } from "./outcomes.js";
+import type { OwnerCapacity } from "./ownerCapacities.js";
 import { createPlacer, type ReservedTask } from "./placer.js";
-import type { OwnerCapacity } from "./rooms.js";
 import type { LoadedSnapshot } from "./snapshots.js";
 import { createTaskQueue, type QueueItem } from "./taskQueue.js";
 
--- a/packages/puffinarch/src/core/placer.ts
+++ b/packages/puffinarch/src/core/placer.ts
@@ -10,8 +10,8 @@
 import { add, noResources, type Resources } from "../types/resources.js";
 import { pickMember } from "../utils/rendezvous.js";
 import type { TaskEntry } from "./homeState.js";
-import { urgentPriority } from "./roomMaker.js";
-import { createOwnerCapacities, type OwnerCapacities, type OwnerCapacity } from "./rooms.js";
+import { createOwnerCapacities, type OwnerCapacities, type OwnerCapacity } from "./ownerCapacities.js";
+import { urgentPriority } from "./preemptor.js";
 import { type QueueItem, shapeKey, type TaskQueue } from "./taskQueue.js";
 
 /** A task with the reservation that a rack owner made for it. */
--- a/packages/puffinarch/src/core/rackOwner.ts
+++ b/packages/puffinarch/src/core/rackOwner.ts
@@ -29,9 +29,9 @@
 import { createLedger } from "./ledger.js";
 import type { Membership, VersionedUnit } from "./membership.js";
 import type { UnitHandler } from "./ownership.js";
+import { createPreemptor } from "./preemptor.js";
 import { createQuarantine } from "./quarantine.js";
 import { createReportOutbox } from "./reportOutbox.js";
-import { createPreemptor } from "./roomMaker.js";
 import { correctedSize, remediesFor } from "./usage.js";
 import { applyReport } from "./workerReport.js";
 
