--- a/packages/stand-ins/src/cell/cell.ts
+++ b/packages/stand-ins/src/cell/cell.ts
@@ -29,7 +29,7 @@
 import { createWorker, type Execution, type WorkerStandIn } from "../worker.js";
 import { breakPart, type BrokenPart } from "./brokenParts.js";
 import { createFakeClock, type FakeClock } from "./fakeClock.js";
-import { createSimulatedProcess, type SimulatedProcess } from "./gate.js";
+import { createSimulatedProcess, type SimulatedProcess } from "./simulatedProcess.js";
 
 /** Size and settings of a cell; every data centre gets the same number of machines. */
 export interface CellOptions {
--- a/packages/stand-ins/src/demo/main.ts
+++ b/packages/stand-ins/src/demo/main.ts
@@ -13,7 +13,7 @@
 import { createBalancer } from "./balancer.js";
 import { type Callers, createCallers } from "./callers.js";
 import { deployments } from "./deployments.js";
-import { computeFigures, type DemoFigures, listViolations } from "./evidence.js";
+import { computeFigures, type DemoFigures, listViolations } from "./figures.js";
 import { createProcesses, type DemoDaemon } from "./processes.js";
 import { type DemoCell as Cell, getJson, postJson, startCell } from "./startCell.js";
 
--- a/packages/stand-ins/src/demo/processes.ts
+++ b/packages/stand-ins/src/demo/processes.ts
@@ -27,7 +27,7 @@
     killAll(): void;
 }
 
-const standInPath = fileURLToPath(new URL("./role.js", import.meta.url));
+const standInPath = fileURLToPath(new URL("./standInProcess.js", import.meta.url));
 const daemonPath = createRequire(import.meta.url).resolve("puffinarchd").replace(/index\.js$/, "main.js");
 
 /**
--- a/packages/stand-ins/src/demo/standInProcess.ts
+++ b/packages/stand-ins/src/demo/standInProcess.ts
@@ -1,5 +1,5 @@
 /**
- * Process that serves stand-ins of one kind: `role.js platform|workers|upstreams JSON`, where the JSON lists the VMs. It
+ * Process that serves stand-ins of one kind: `standInProcess.js platform|workers|upstreams JSON`, where the JSON lists the VMs. It
  * sends their addresses to its parent process as a message and exits with it.
  */
 
--- a/packages/stand-ins/src/shard/delayedStart.ts
+++ b/packages/stand-ins/src/shard/delayedStart.ts
@@ -7,8 +7,8 @@
 import { jobIdOf, readSteps } from "./jobShapes.js";
 import { createShardCell, type ShardCell } from "./shardCell.js";
 import { shardFaults } from "./shardFaults.js";
-import { findPersistentlyStalledTasks } from "./standing.js";
-import { watchStalledTasks } from "./standingWatch.js";
+import { findPersistentlyStalledTasks } from "./stalledTasks.js";
+import { watchStalledTasks } from "./stalledTaskWatch.js";
 
 /** Faults around one start order; times count from when the order is sent. */
 export interface DelayedStartPlan {
--- a/packages/stand-ins/src/shard/exploreSeed.ts
+++ b/packages/stand-ins/src/shard/exploreSeed.ts
@@ -16,8 +16,8 @@
 } from "./jobShapes.js";
 import { createShardCell, type ShardCell, testQueue } from "./shardCell.js";
 import { shardFaults } from "./shardFaults.js";
-import { findPersistentlyStalledTasks } from "./standing.js";
-import { watchStalledTasks } from "./standingWatch.js";
+import { findPersistentlyStalledTasks } from "./stalledTasks.js";
+import { watchStalledTasks } from "./stalledTaskWatch.js";
 
 /** Faults that stop all placement while they last, so that it has to resume after them. */
 const placementStoppingFaults = [
--- a/packages/stand-ins/src/shard/shardCell.ts
+++ b/packages/stand-ins/src/shard/shardCell.ts
@@ -40,16 +40,16 @@
 } from "puffinarch";
 import { z } from "zod";
 import { createFakeClock, type FakeClock } from "../cell/fakeClock.js";
-import { noopMeter } from "../quiet.js";
+import { noopMeter } from "../noopLog.js";
 import { breakShardPart, type BrokenShardPart } from "./brokenShardParts.js";
-import { createFaultTracker } from "./calm.js";
 import { capBreaches, type CapVersion, isUnderHalf } from "./capCheck.js";
 import { createFakeVms, type FakeVms } from "./fakeVms.js";
+import { createFaultTracker } from "./faultTracker.js";
 import { createFakeFencedWorkers, type FakeFencedWorkers, findBreaches, ticketFor } from "./fencedWorkers.js";
 import type { Transfer } from "./link.js";
 import { createProcessor, type Processor, type ProcessorCosts, withProcessor, withQueuedTimers } from "./processor.js";
 import { createFakeRowStore, type FakeRowStore } from "./rowStore.js";
-import { findStalledTasks } from "./standing.js";
+import { findStalledTasks } from "./stalledTasks.js";
 import { createSuspension, type Suspension } from "./suspension.js";
 
 /** The queue of the cell's configuration, unless the options name others. */
--- a/packages/stand-ins/src/shard/stalledTaskWatch.ts
+++ b/packages/stand-ins/src/shard/stalledTaskWatch.ts
@@ -6,7 +6,7 @@
 import { parseTaskName, type RunEnd } from "puffinarch";
 import type { StartEvidence } from "./fencedWorkers.js";
 import type { ShardCell } from "./shardCell.js";
-import { faultFreeBeforeMs, stallLimitMs } from "./standing.js";
+import { faultFreeBeforeMs, stallLimitMs } from "./stalledTasks.js";
 
 /** Result of watching a cell. */
 export interface StalledTaskWatch {
