--- a/benchmarks/src/benchmark.ts
+++ b/benchmarks/src/benchmark.ts
@@ -1,31 +1,34 @@
-/** What a benchmark is, and how it shows what it measured. */
+/** The type of a benchmark, and helpers that summarise and round what it measured. */
 
 import * as hdr from "hdr-histogram-js";
 
-/** One row a setting; names carry their unit. */
+/** Results of one setting as a row of a table; column names carry their unit. */
 export type Row = Readonly<Record<string, number | string>>;
 
-/** How a benchmark is run. */
+/** Options of one run of a benchmark. */
 export interface BenchmarkOptions {
-    /** More settings and longer runs, for more than a minute. */
+    /** Measures more settings or runs each for longer; the run may take more than a minute. */
     readonly long: boolean;
+    /** Seed of the generated inputs. */
     readonly seed: number;
 }
 
-/** Measures and answers its rows. */
+/** Measures every setting and resolves to a row for each. */
 export type Benchmark = (options: BenchmarkOptions) => Promise<readonly Row[]>;
 
-/** Collects values and answers percentiles. */
+/** Collects values and computes their percentiles. */
 export interface Sample {
     add(value: number): void;
+    /** Value at a percentile from 0 to 100; 0 if there are no values. */
     percentile(percent: number): number;
     count(): number;
 }
 
-const thousandths = 1_000;
+/** The histogram counts whole numbers only, so values are recorded in thousandths. */
+const unitsPerValue = 1_000;
 
 /**
- * Makes an empty sample; values are kept in thousandths, to three digits.
+ * Creates an empty sample. Negative values count as 0; percentiles have three significant digits and a resolution of 0.001.
  *
  * @example
  * const sample = createSample();
@@ -38,14 +41,14 @@
         autoResize: true,
     });
     return {
-        add: value => histogram.recordValue(Math.max(0, Math.round(value * thousandths))),
-        percentile: percent => histogram.totalCount === 0 ? 0 : histogram.getValueAtPercentile(percent) / thousandths,
+        add: value => histogram.recordValue(Math.max(0, Math.round(value * unitsPerValue))),
+        percentile: percent => histogram.totalCount === 0 ? 0 : histogram.getValueAtPercentile(percent) / unitsPerValue,
         count: () => histogram.totalCount,
     };
 };
 
 /**
- * Rounds for showing.
+ * Rounds a value to a number of decimal places.
  *
  * @example
  * round(1.23456, 2); // 1.23
--- a/benchmarks/src/journal.ts
+++ b/benchmarks/src/journal.ts
@@ -1,6 +1,7 @@
 /**
- * Table writes a task through group commit, and how long a commit takes, at rising rates; seven homes share a table that
- * allows 300 writes a second. The clock is fake and the table answers after 2 ms, so the figures are the protocol's.
+ * Measures the table writes per task with group commit, and the commit latency, at rising task rates. Seven homes share a
+ * table that allows 300 writes a second. The clock is simulated and the table answers after 2 ms, so the figures show the cost
+ * of the protocol and not the speed of the machine.
  */
 
 import { createFakeClock, createPlatform, defaultPlatformLimits } from "@puffinarch/stand-ins";
@@ -17,14 +18,14 @@
 
 const homes = 7;
 const roundTripMs = 2;
-/** 150,000 jobs a day against 1,300 starts a second at the peak: most jobs have many tasks. */
+/** At the peak 1,300 tasks start a second, against 150,000 jobs a day, so most jobs have many tasks. */
 const tasksPerJob = 8;
-/** Accepted (shared by a job's tasks), intended, ended. */
+/** Journal records of a task: the intended attempt, the end, and its share of the one record that accepts the job. */
 const transitionsPerTask = 2 + 1 / tasksPerJob;
 const { journalBatchesPerSecond, urgentBatchesPerSecond } = defaultNodeSettings;
-const noMeter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
+const discardingMeter: Meter = { count: () => {}, record: () => {}, total: () => 0, percentile: () => 0 };
 
-const sizeOf = { cpuMillis: 500, memoryMib: 512, accelerators: 0 };
+const taskSize = { cpuMillis: 500, memoryMib: 512, accelerators: 0 };
 
 const acceptedRecord = (jobId: string): JournalRecord => ({
     kind: "jobAccepted",
@@ -34,7 +35,7 @@
         workloadClass: "batch",
         team: "rigging",
         tasks: tasksPerJob,
-        taskSize: sizeOf,
+        taskSize,
         atMostOnce: false,
         payload: '{"runMs":500}',
     },
@@ -60,7 +61,7 @@
     endedAtMs: 1_700_000_000_500,
 });
 
-const measure = async (tasksPerSecond: number, seconds: number, seed: number): Promise<Row> => {
+const measureRate = async (tasksPerSecond: number, seconds: number, seed: number): Promise<Row> => {
     const clock = createFakeClock();
     const platform = createPlatform(clock, createSeededRandom(seed), defaultPlatformLimits);
     platform.faults.set("table", [{ target: "table", kind: "slow", probability: 1, delayMs: roundTripMs }]);
@@ -77,7 +78,7 @@
             table,
             clock,
             log: { write: () => {} },
-            meter: noMeter,
+            meter: discardingMeter,
             journalId: `h${index}`,
             nextSequence: 0,
             fence: { key, version: claimed.outcome === "committed" ? claimed.version : 0 },
@@ -127,11 +128,11 @@
     };
 };
 
-/** Rates from one task a second to 3,000. */
+/** Measures rates from 1 to 3,000 tasks a second; the baseline is one table write for each record. */
 export const journal: Benchmark = async ({ long, seed }) => {
     const rows: Row[] = [];
     for (const rate of [1, 10, 100, 300, 1_300, 3_000]) {
-        rows.push(await measure(rate, long || rate < 100 ? 20 : 10, seed));
+        rows.push(await measureRate(rate, long || rate < 100 ? 20 : 10, seed));
     }
     return rows;
 };
--- a/benchmarks/src/main.ts
+++ b/benchmarks/src/main.ts
@@ -1,4 +1,7 @@
-/** `npm run bench -- NAME [--json] [--long]`: runs one benchmark; with `--json` the last line is one JSON object. */
+/**
+ * `npm run bench -- NAME [--json] [--long] [--seed N]`: runs one benchmark and prints its rows as a table; with `--json` the last
+ * line is one JSON object with the same rows.
+ */
 
 import { Argument, Command } from "commander";
 import type { Benchmark, Row } from "./benchmark.js";
@@ -10,24 +13,24 @@
 
 const benchmarks: Readonly<Record<string, Benchmark>> = { placement, journal, takeover, waiting, storm };
 
-const show = (rows: readonly Row[]): string => {
-    const names = Object.keys(rows[0] ?? {});
-    const cells = [names, ...rows.map(row => names.map(name => String(row[name] ?? "")))];
-    const widths = names.map((_name, column) => Math.max(...cells.map(line => line[column]?.length ?? 0)));
-    return cells.map(line => line.map((cell, column) => cell.padStart(widths[column] ?? 0)).join("  ")).join("\n");
+const formatTable = (rows: readonly Row[]): string => {
+    const columns = Object.keys(rows[0] ?? {});
+    const lines = [columns, ...rows.map(row => columns.map(column => String(row[column] ?? "")))];
+    const widths = columns.map((_column, index) => Math.max(...lines.map(line => line[index]?.length ?? 0)));
+    return lines.map(line => line.map((cell, index) => cell.padStart(widths[index] ?? 0)).join("  ")).join("\n");
 };
 
 const program = new Command("bench")
-    .addArgument(new Argument("<name>", "benchmark").choices(Object.keys(benchmarks)))
-    .option("--json", "end with one JSON object")
-    .option("--long", "more settings and longer runs")
-    .option("--seed <n>", "seed of the inputs", "1");
+    .addArgument(new Argument("<name>", "name of the benchmark").choices(Object.keys(benchmarks)))
+    .option("--json", "also print the rows as one JSON object, on the last line")
+    .option("--long", "measure more settings or run longer; may take more than a minute")
+    .option("--seed <n>", "seed of the generated inputs", "1");
 
 program.parse();
 const [name = ""] = program.args;
 const flags = program.opts<{ readonly json?: boolean; readonly long?: boolean; readonly seed: string; }>();
 const rows = await benchmarks[name]?.({ long: flags.long === true, seed: Number(flags.seed) }) ?? [];
-process.stdout.write(`${show(rows)}\n`);
+process.stdout.write(`${formatTable(rows)}\n`);
 if (flags.json === true) {
     process.stdout.write(`${JSON.stringify({ benchmark: name, rows })}\n`);
 }
--- a/benchmarks/src/placement.ts
+++ b/benchmarks/src/placement.ts
@@ -1,4 +1,7 @@
-/** Decisions of each policy on a ledger that is 90% full, by its size; and how tightly each policy packs. */
+/**
+ * Measures how long a decision of each placement policy takes on ledgers of several sizes that are about 90% full, and how
+ * tightly each policy packs.
+ */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -23,66 +26,80 @@
     { cpuMillis: 4_000, memoryMib: 4_096, accelerators: 1 },
     { cpuMillis: 8_000, memoryMib: 12_288, accelerators: 0 },
 ];
-const fullShare = 0.9;
+/** Share of the CPU that tasks request before the decisions are measured. */
+const filledShare = 0.9;
 const sampleSize = 4;
-const noAvoid: ReadonlySet<string> = new Set();
+const noAvoidedWorkers: ReadonlySet<string> = new Set();
+/** Decisions made before the measured ones, so that V8 has compiled the policy by then. */
 const warmUpDecisions = 2_000;
 
-const anyShape = (random: Random): Resources => shapes[Math.floor(random.next() * shapes.length)] ?? capacity;
+const pickShape = (random: Random): Resources => shapes[Math.floor(random.next() * shapes.length)] ?? capacity;
 
-interface Cell {
+/** A ledger and the attempts that were placed on it. */
+interface PlacedTasks {
     readonly ledger: Ledger;
-    readonly held: string[];
+    readonly attemptIds: string[];
+    /** Sizes of the attempts by id. */
     readonly sizes: Map<string, Resources>;
+    /** Number of decisions, including those that placed no task. */
     attempts: number;
 }
 
-const newCell = (workers: number): Cell => {
+const createPlacedTasks = (workers: number): PlacedTasks => {
     const ledger = createLedger();
     for (let index = 0; index < workers; index += 1) {
         ledger.addWorker(`w${index}`, `r${Math.floor(index / 40)}`, capacity);
         ledger.setOpen(`w${index}`, true);
     }
-    return { ledger, held: [], sizes: new Map(), attempts: 0 };
+    return { ledger, attemptIds: [], sizes: new Map(), attempts: 0 };
 };
 
-const decide = (cell: Cell, policy: PlacementName, size: Resources, random: Random): boolean => {
-    const { worker } = placements[policy]({ ledger: cell.ledger, size, random, sampleSize, avoid: noAvoid });
-    cell.attempts += 1;
-    const attemptId = `a${cell.attempts}`;
-    if (worker === undefined || !cell.ledger.reserve(worker.workerId, attemptId, size)) {
+/** Decides on one task and reserves its size; returns false if no worker has room for it. */
+const placeTask = (placed: PlacedTasks, policy: PlacementName, size: Resources, random: Random): boolean => {
+    const { worker } = placements[policy]({ ledger: placed.ledger, size, random, sampleSize, avoid: noAvoidedWorkers });
+    placed.attempts += 1;
+    const attemptId = `a${placed.attempts}`;
+    if (worker === undefined || !placed.ledger.reserve(worker.workerId, attemptId, size)) {
         return false;
     }
-    cell.held.push(attemptId);
-    cell.sizes.set(attemptId, size);
+    placed.attemptIds.push(attemptId);
+    placed.sizes.set(attemptId, size);
     return true;
 };
 
-const endAny = (cell: Cell, random: Random): void => {
-    const place = Math.floor(random.next() * cell.held.length);
-    const attemptId = cell.held[place];
-    const last = cell.held.pop();
+/** Ends one attempt at random, in constant time: the last attempt of the list takes its position. */
+const endRandomAttempt = (placed: PlacedTasks, random: Random): void => {
+    const index = Math.floor(random.next() * placed.attemptIds.length);
+    const attemptId = placed.attemptIds[index];
+    const last = placed.attemptIds.pop();
     if (attemptId === undefined || last === undefined) {
         return;
     }
-    if (place < cell.held.length) {
-        cell.held[place] = last;
+    if (index < placed.attemptIds.length) {
+        placed.attemptIds[index] = last;
     }
-    cell.ledger.release(attemptId);
-    cell.sizes.delete(attemptId);
+    placed.ledger.release(attemptId);
+    placed.sizes.delete(attemptId);
 };
 
-/** Fills by a quick policy, so that the large sizes do not take minutes; the decisions that follow are the policy's. */
-const fill = (cell: Cell, workers: number, random: Random): void => {
+/**
+ * Fills the ledger with `randomOfK` whichever policy is measured, since filling a large ledger with a slow policy takes
+ * minutes.
+ */
+const fill = (placed: PlacedTasks, workers: number, random: Random): void => {
     let cpuMillis = 0;
-    while (cpuMillis < workers * capacity.cpuMillis * fullShare) {
-        const size = anyShape(random);
+    while (cpuMillis < workers * capacity.cpuMillis * filledShare) {
+        const size = pickShape(random);
         cpuMillis += size.cpuMillis;
-        decide(cell, "randomOfK", size, random);
+        placeTask(placed, "randomOfK", size, random);
     }
 };
 
-const lowerBound = (sizes: Iterable<Resources>): number => {
+/**
+ * Lower bound on the number of workers that tasks of these sizes need: their total divided by the capacity of one worker, for
+ * the resource where this is largest.
+ */
+const minWorkers = (sizes: Iterable<Resources>): number => {
     let [cpuMillis, memoryMib, accelerators] = [0, 0, 0];
     for (const size of sizes) {
         cpuMillis += size.cpuMillis;
@@ -97,37 +114,37 @@
 const countOvercommits = (ledger: Ledger): number =>
     ledger.workers().filter(worker => !fits(worker.reserved, worker.capacity)).length;
 
-/** Workers in use over the fewest that could hold the same tasks, when a cell is filled to two thirds from empty. */
-const packingOf = (policy: PlacementName, seed: number): number => {
+/** Places tasks for two thirds of the CPU on an empty ledger, and returns the workers in use divided by `minWorkers`. */
+const measurePacking = (policy: PlacementName, seed: number): number => {
     const workers = 300;
     const random = createSeededRandom(seed);
-    const cell = newCell(workers);
+    const placed = createPlacedTasks(workers);
     for (let cpuMillis = 0; cpuMillis < workers * capacity.cpuMillis * 2 / 3;) {
-        const size = anyShape(random);
+        const size = pickShape(random);
         cpuMillis += size.cpuMillis;
-        decide(cell, policy, size, random);
+        placeTask(placed, policy, size, random);
     }
-    const used = cell.ledger.workers().filter(worker => worker.reserved.cpuMillis > 0).length;
-    return used / lowerBound(cell.sizes.values());
+    const used = placed.ledger.workers().filter(worker => worker.reserved.cpuMillis > 0).length;
+    return used / minWorkers(placed.sizes.values());
 };
 
 const measure = (workers: number, policy: PlacementName, decisions: number, seed: number): Row => {
     const random = createSeededRandom(seed);
-    const cell = newCell(workers);
-    fill(cell, workers, random);
+    const placed = createPlacedTasks(workers);
+    fill(placed, workers, random);
     const sample = createSample();
     let spentMs = 0;
     for (let count = -warmUpDecisions; count < decisions; count += 1) {
-        const size = anyShape(random);
+        const size = pickShape(random);
         const startedAtMs = performance.now();
-        const placed = decide(cell, policy, size, random);
+        const isPlaced = placeTask(placed, policy, size, random);
         const tookMs = performance.now() - startedAtMs;
         if (count >= 0) {
             spentMs += tookMs;
             sample.add(tookMs * 1_000);
         }
-        if (placed) {
-            endAny(cell, random);
+        if (isPlaced) {
+            endRandomAttempt(placed, random);
         }
     }
     return {
@@ -136,12 +153,12 @@
         decisionsPerSecond: Math.round(decisions * 1_000 / spentMs),
         decisionP50Us: round(sample.percentile(50), 2),
         decisionP99Us: round(sample.percentile(99), 2),
-        overcommits: countOvercommits(cell.ledger),
-        packingRatio: round(packingOf(policy, seed)),
+        overcommits: countOvercommits(placed.ledger),
+        packingRatio: round(measurePacking(policy, seed)),
     };
 };
 
-/** Decisions a second and their spread at 30, 500 and 17,000 workers. */
+/** Measures decisions per second and their latency at 30, 500 and 17,000 workers. */
 export const placement: Benchmark = async ({ long, seed }) => {
     const rows: Row[] = [];
     for (const workers of [30, 500, 17_000]) {
--- a/benchmarks/src/storm.ts
+++ b/benchmarks/src/storm.ts
@@ -1,6 +1,7 @@
 /**
- * A thousand tasks a second while a daemon is killed, paused or cut off: what ran twice, what was given too much, and
- * which accepted task was not answered, from the workers' evidence. The cell runs on a fake clock.
+ * Submits a thousand tasks a second while a daemon is killed, paused or cut off, and counts the tasks that ran twice, the
+ * overcommitted workers and the accepted tasks that did not end. Executions and overcommits are those that the simulated
+ * workers recorded. The cell runs on a simulated clock.
  */
 
 import { type Cell, createCell, defaultCellOptions, platformEndpoint, tasksRunTwice } from "@puffinarch/stand-ins";
@@ -10,8 +11,10 @@
 const victim = "leon-feria-e0";
 const tasksPerJob = 8;
 const jobsPerSecond = 125;
+/** The fault begins when this share of the jobs is submitted, and ends at `healAtShare`. */
 const faultAtShare = 0.3;
 const healAtShare = 0.8;
+/** Time after the last job for the remaining tasks to end. */
 const settleMs = 40_000;
 
 const faults: Readonly<Record<string, (cell: Cell) => void>> = {
@@ -42,12 +45,13 @@
     },
 };
 
+/** Submits the job of this number to a daemon that is ready, and adds its id to `accepted` once it is accepted. */
 const submit = (cell: Cell, count: number, accepted: Set<string>): void => {
-    const open = cell.daemons().filter(daemon =>
+    const ready = cell.daemons().filter(daemon =>
         !daemon.process.dead() && !daemon.process.paused() && daemon.node.ready()
     );
     const jobId = `job-${count}`;
-    const call = open[count % Math.max(1, open.length)]?.node.jobs.submit({
+    const call = ready[count % Math.max(1, ready.length)]?.node.jobs.submit({
         jobId,
         workloadClass: "batch",
         team: "rigging",
@@ -59,23 +63,24 @@
     call?.then(() => accepted.add(jobId), () => undefined);
 };
 
-const unanswered = async (cell: Cell, accepted: ReadonlySet<string>): Promise<number> => {
-    const answering = cell.daemons().filter(daemon => !daemon.process.dead() && daemon.node.ready());
+/** Counts the tasks of accepted jobs that are in no final state, by the jobs that the ready daemons list. */
+const countUnfinishedTasks = async (cell: Cell, accepted: ReadonlySet<string>): Promise<number> => {
+    const readyDaemons = cell.daemons().filter(daemon => !daemon.process.dead() && daemon.node.ready());
     const views = Promise.all(
-        answering.map(daemon => daemon.node.handlers.jobs({ team: "", afterJobId: "", limit: 100_000 })),
+        readyDaemons.map(daemon => daemon.node.handlers.jobs({ team: "", afterJobId: "", limit: 100_000 })),
     );
     await cell.advance(100);
-    const ended = new Map((await views).flat().map(job => [job.spec.jobId, job]));
+    const jobs = new Map((await views).flat().map(job => [job.spec.jobId, job]));
     let count = 0;
     for (const jobId of accepted) {
-        const counts = Object.entries(ended.get(jobId)?.taskCounts ?? {});
+        const counts = Object.entries(jobs.get(jobId)?.taskCounts ?? {});
         const final = counts.reduce((sum, [state, tasks]) => sum + (isFinal(state as never) ? tasks : 0), 0);
         count += tasksPerJob - final;
     }
     return count;
 };
 
-const measure = async (fault: string, seconds: number, seed: number): Promise<Row> => {
+const measureFault = async (fault: string, seconds: number, seed: number): Promise<Row> => {
     const cell = createCell({
         ...defaultCellOptions,
         seed,
@@ -100,24 +105,24 @@
     }
     await cell.advance(settleMs);
     const executions = cell.executions();
-    const onceOnly = new Set([...accepted].filter(jobId => Number(jobId.slice(4)) % 4 === 0));
+    const atMostOnceJobs = new Set([...accepted].filter(jobId => Number(jobId.slice(4)) % 4 === 0));
     return {
         fault,
         tasksPerSecond: jobsPerSecond * tasksPerJob,
         tasksAccepted: accepted.size * tasksPerJob,
         attempts: executions.length,
-        tasksRunTwice: tasksRunTwice(executions, onceOnly).length,
+        tasksRunTwice: tasksRunTwice(executions, atMostOnceJobs).length,
         overcommits: cell.overcommits(),
-        tasksUnanswered: await unanswered(cell, accepted),
+        tasksUnanswered: await countUnfinishedTasks(cell, accepted),
         sessionsFenced: cell.counterTotal("sessionsFenced"),
     };
 };
 
-/** Each way to lose a daemon under a thousand tasks a second. */
+/** Measures each fault of a daemon, and a run without a fault, under a thousand tasks a second. */
 export const storm: Benchmark = async ({ long, seed }) => {
     const rows: Row[] = [];
     for (const fault of Object.keys(faults)) {
-        rows.push(await measure(fault, long ? 60 : 20, seed));
+        rows.push(await measureFault(fault, long ? 60 : 20, seed));
     }
     return rows;
 };
--- a/benchmarks/src/takeover.ts
+++ b/benchmarks/src/takeover.ts
@@ -1,17 +1,19 @@
 /**
- * From an owner's death to its racks placing again, by number of racks, and what happened to its tasks. The cell runs on
- * a fake clock: the times are the protocol's, with the default timings and a list of VMs that lags by 2 s.
+ * Measures the time from the failure of a rack owner until all racks have a live owner again, by number of racks, and counts
+ * the tasks that were lost or ran again. The cell runs on a simulated clock, so the times are those of the protocol with the
+ * default timings and a VM list that lags by 2 s.
  */
 
 import { createCell, defaultCellOptions, tasksRunTwice } from "@puffinarch/stand-ins";
 import { type Benchmark, type Row } from "./benchmark.js";
 
-type Ending = "VM gone" | "process restarted" | "paused";
+/** How the rack owner fails. */
+type OwnerFailure = "VM gone" | "process restarted" | "paused";
 
-const stepMs = 50;
-const limitMs = 60_000;
+const pollIntervalMs = 50;
+const maxTakeoverMs = 60_000;
 
-const measure = async (racks: number, ending: Ending, seed: number): Promise<Row> => {
+const measureTakeover = async (racks: number, ending: OwnerFailure, seed: number): Promise<Row> => {
     const cell = createCell({
         ...defaultCellOptions,
         seed,
@@ -22,9 +24,9 @@
     });
     await cell.start();
     await cell.advance(5_000);
-    const home = cell.daemon("leon-feria-e0");
+    const submitter = cell.daemon("leon-feria-e0");
     const tasks = racks * 2;
-    const accepted = home.node.jobs.submit({
+    const accepted = submitter.node.jobs.submit({
         jobId: "j1",
         workloadClass: "batch",
         team: "rigging",
@@ -42,7 +44,7 @@
     }
     const [sessionBefore = "", ownedBefore = 0] = [...owners].sort(([, left], [, right]) => right - left)[0] ?? [];
     const victim = sessionBefore.slice(0, sessionBefore.indexOf("~"));
-    const endings: Readonly<Record<Ending, () => void>> = {
+    const failures: Readonly<Record<OwnerFailure, () => void>> = {
         "VM gone": () => cell.kill(victim, true),
         "process restarted": () => {
             cell.kill(victim, false);
@@ -50,21 +52,21 @@
         },
         paused: () => cell.pause(victim),
     };
-    endings[ending]();
-    const endedAtMs = cell.clock.monotonicMs();
-    const allPlace = async (): Promise<boolean> => {
-        const owners = cell.daemons().filter(daemon =>
+    failures[ending]();
+    const failedAtMs = cell.clock.monotonicMs();
+    const allRacksOwned = async (): Promise<boolean> => {
+        const daemons = cell.daemons().filter(daemon =>
             !daemon.process.dead() && !daemon.process.paused() && daemon.node.ready()
         );
-        const views = (await Promise.all(owners.map(daemon => daemon.node.handlers.workers({ dataCentre: "" }))))
+        const views = (await Promise.all(daemons.map(daemon => daemon.node.handlers.workers({ dataCentre: "" }))))
             .flat();
         const live = views.filter(view => view.state === "live" && view.ownerDaemonId !== sessionBefore);
         return new Set(live.map(view => view.workerId)).size === racks;
     };
-    while (!await allPlace() && cell.clock.monotonicMs() - endedAtMs < limitMs) {
-        await cell.advance(stepMs);
+    while (!await allRacksOwned() && cell.clock.monotonicMs() - failedAtMs < maxTakeoverMs) {
+        await cell.advance(pollIntervalMs);
     }
-    const takeoverMs = cell.clock.monotonicMs() - endedAtMs;
+    const takeoverMs = cell.clock.monotonicMs() - failedAtMs;
     await cell.advance(40_000);
     const executions = cell.executions();
     const completed = new Set(executions.filter(each => each.outcome === "completed").map(each => each.taskId));
@@ -81,12 +83,12 @@
     };
 };
 
-/** 1 to 60 racks in one data centre with three daemons, for each way to end. */
+/** Measures 1 to 60 racks, and up to 120 in a long run, in one data centre with three daemons, for each failure of the owner. */
 export const takeover: Benchmark = async ({ long, seed }) => {
     const rows: Row[] = [];
     for (const racks of long ? [1, 3, 10, 30, 60, 120] : [1, 10, 60]) {
         for (const ending of ["VM gone", "process restarted", "paused"] as const) {
-            rows.push(await measure(racks, ending, seed));
+            rows.push(await measureTakeover(racks, ending, seed));
         }
     }
     return rows;
