--- a/scripts/bundlePlatform.mjs
+++ b/scripts/bundlePlatform.mjs
@@ -1,14 +1,16 @@
-// Bundles the daemon for the users' platform into one file under target/, straight from the sources, so that a build writes
-// nothing elsewhere: it starts three times as fast as its modules. CI checks the types.
+// Bundles the daemon for the users' platform into one file, target/puffinarchd.cjs or the path that is given. The bundle
+// starts three times as fast as the separate modules. It is built from the TypeScript sources, so that a build writes nothing
+// outside target/; types are not checked here but in CI.
 import { build } from "esbuild";
 
-const sourceOf = path => new URL(`../${path}`, import.meta.url).pathname;
+const resolvePath = path => new URL(`../${path}`, import.meta.url).pathname;
 
 /**
- * What a start need not load, by the request that would bring it in. An alias would also catch inner paths of a library.
- * Node's own modules for TLS and HTTP/2 cost a start 30 ms of processor time and are used by nobody here.
+ * Modules that the bundle replaces with smaller ones, by a pattern of the import path. An alias of esbuild would also
+ * apply to the inner paths of a package. The daemon uses neither TLS nor HTTP/2, and loading the modules of Node.js for them
+ * costs a start 30 ms of CPU time.
  */
-const replacements = [
+const substitutes = [
     [/^undici$/, "scripts/lean/undici.cjs"],
     [/\/client-h2\.js$/, "scripts/lean/noHttp2.cjs"],
     [/^hdr-histogram-js$/, "scripts/lean/histogram.cjs"],
@@ -16,21 +18,22 @@
     [/^node:http2$/, "scripts/lean/http2.cjs"],
 ];
 
-const lean = {
-    name: "lean",
+const substituteModules = {
+    name: "substitute-modules",
     setup: ({ onResolve }) => {
-        for (const [filter, path] of replacements) {
+        for (const [filter, path] of substitutes) {
             onResolve(
                 { filter },
-                ({ importer }) => importer.includes("/scripts/lean/") ? undefined : { path: sourceOf(path) },
+                // The substitutes themselves import the real modules.
+                ({ importer }) => importer.includes("/scripts/lean/") ? undefined : { path: resolvePath(path) },
             );
         }
     },
 };
 
 await build({
-    plugins: [lean],
-    entryPoints: [sourceOf("platform/src/main.ts")],
+    plugins: [substituteModules],
+    entryPoints: [resolvePath("platform/src/main.ts")],
     outfile: process.argv[2] ?? "target/puffinarchd.cjs",
     bundle: true,
     platform: "node",
@@ -39,12 +42,12 @@
     minify: true,
     legalComments: "none",
     alias: {
-        puffinarch: sourceOf("packages/puffinarch/src/puffinarch.ts"),
-        "puffinarchd/adapters/http": sourceOf("packages/puffinarchd/src/adapters/http.ts"),
-        "puffinarchd/adapters/members": sourceOf("packages/puffinarchd/src/adapters/members.ts"),
-        "puffinarchd/logOutput": sourceOf("packages/puffinarchd/src/logOutput.ts"),
-        "puffinarchd/logging": sourceOf("packages/puffinarchd/src/logging.ts"),
-        "puffinarchd/metrics": sourceOf("packages/puffinarchd/src/metrics.ts"),
-        "puffinarchd/settingsFile": sourceOf("packages/puffinarchd/src/settingsFile.ts"),
+        puffinarch: resolvePath("packages/puffinarch/src/puffinarch.ts"),
+        "puffinarchd/adapters/http": resolvePath("packages/puffinarchd/src/adapters/http.ts"),
+        "puffinarchd/adapters/members": resolvePath("packages/puffinarchd/src/adapters/members.ts"),
+        "puffinarchd/logOutput": resolvePath("packages/puffinarchd/src/logOutput.ts"),
+        "puffinarchd/logging": resolvePath("packages/puffinarchd/src/logging.ts"),
+        "puffinarchd/metrics": resolvePath("packages/puffinarchd/src/metrics.ts"),
+        "puffinarchd/settingsFile": resolvePath("packages/puffinarchd/src/settingsFile.ts"),
     },
 });
--- a/scripts/checkSchema.mjs
+++ b/scripts/checkSchema.mjs
@@ -1,5 +1,5 @@
-// Checks the schema: its style, that the committed code is what the generator makes, and that no change breaks callers of
-// the released baseline. The rules are in docs/design/schema.md.
+// Checks the style of the schema, that the committed code is what the generator produces from it, and that it does not break
+// callers of the released baseline. The rules are in docs/design/schema.md.
 import { execFileSync } from "node:child_process";
 import { cpSync, mkdtempSync, readdirSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -7,7 +7,7 @@
 
 const buf = resolve("node_modules/.bin/buf");
 const env = { ...process.env, PATH: `${resolve("node_modules/.bin")}:${process.env.PATH}` };
-const run = (args, cwd) => execFileSync(buf, args, { cwd, env, stdio: "inherit" });
+const runBuf = (args, cwd) => execFileSync(buf, args, { cwd, env, stdio: "inherit" });
 
 const copySchema = () => {
     const folder = mkdtempSync(join(tmpdir(), "puffinarch-schema-"));
@@ -16,18 +16,20 @@
 };
 
 const checkGenerated = folder => {
-    run(["generate"], folder);
+    runBuf(["generate"], folder);
     const generated = "gen/puffinarch/v1";
     for (const name of readdirSync(join(folder, generated))) {
-        const fresh = readFileSync(join(folder, generated, name), "utf8");
-        if (fresh !== readFileSync(join("schema", generated, name), "utf8")) {
-            throw new Error(`schema/${generated}/${name} is not what the schema gives; run npm run schema:generate`);
+        const expected = readFileSync(join(folder, generated, name), "utf8");
+        if (expected !== readFileSync(join("schema", generated, name), "utf8")) {
+            throw new Error(
+                `schema/${generated}/${name} differs from what the generator produces; run npm run schema:generate`,
+            );
         }
     }
 };
 
-// A check that cannot fail proves nothing, so a breaking change is made to a copy and must be refused.
-const checkThatBreaksAreSeen = folder => {
+// Makes a breaking change in the copy and expects buf to reject it, since a check that never fails would go unnoticed.
+const checkBreakingChangeIsRejected = folder => {
     const path = join(folder, "puffinarch/v1/job.proto");
     writeFileSync(path, readFileSync(path, "utf8").replace("string job_id = 1;", "uint32 job_id = 1;"));
     try {
@@ -36,16 +38,16 @@
     catch {
         return;
     }
-    throw new Error("a changed field type was not seen as a breaking change");
+    throw new Error("buf breaking did not reject a field whose type has changed");
 };
 
 const folder = copySchema();
 try {
-    run(["lint"], folder);
-    run(["breaking", "--against", "baseline.binpb"], folder);
+    runBuf(["lint"], folder);
+    runBuf(["breaking", "--against", "baseline.binpb"], folder);
     checkGenerated(folder);
-    checkThatBreaksAreSeen(folder);
-    console.log("the schema is well formed, generated and compatible");
+    checkBreakingChangeIsRejected(folder);
+    console.log("the schema is well formed and compatible, and its generated code is up to date");
 }
 finally {
     rmSync(folder, { recursive: true });
--- a/scripts/lean/histogram.cjs
+++ b/scripts/lean/histogram.cjs
@@ -1,4 +1,5 @@
-// What the daemon uses of hdr-histogram-js: no log writer, and so no compression.
+// Replaces hdr-histogram-js in the bundle with its builder, all that the daemon uses. The library's index also loads its
+// encodings, and with them a compression library.
 "use strict";
 const { build } = require("hdr-histogram-js/dist/HistogramBuilder");
 
--- a/scripts/lean/lazy.cjs
+++ b/scripts/lean/lazy.cjs
@@ -1,4 +1,4 @@
-// Stands for a module that is loaded when something of it is first used.
+// Creates a stand-in for a module. It loads the module when one of its properties is first read.
 "use strict";
 
 module.exports = load => new Proxy({}, { get: (_target, name) => load()[name] });
--- a/scripts/lean/noHttp2.cjs
+++ b/scripts/lean/noHttp2.cjs
@@ -1,6 +1,6 @@
-// The daemon speaks HTTP/1.1 without TLS, so undici never negotiates HTTP/2.
+// Replaces undici's HTTP/2 client in the bundle. The daemon uses HTTP/1.1 without TLS, so undici never negotiates HTTP/2.
 "use strict";
 
 module.exports = () => {
-    throw new Error("HTTP/2 is not built in");
+    throw new Error("the bundled daemon does not support HTTP/2");
 };
--- a/scripts/lean/undici.cjs
+++ b/scripts/lean/undici.cjs
@@ -1,5 +1,5 @@
-// What the bundled daemon uses of undici. The library's index also loads fetch, WebSocket and caches, and with them much of
-// Node's own copy, which a start need not pay for.
+// Replaces undici in the bundle with its connection pool, all that the daemon uses. The library's index also loads fetch,
+// WebSocket and caches, and with them much of the copy of undici that is built into Node.js, which slows a start.
 "use strict";
 const Dispatcher = require("undici/lib/dispatcher/dispatcher");
 const Pool = require("undici/lib/dispatcher/pool");
