--- a/features/steps/examples/decisions.ts
+++ b/features/steps/examples/decisions.ts
@@ -124,7 +124,7 @@
     upstreamChoices: upstreamChoice,
     homeState,
     taskQueue,
-    rooms,
+    ownerCapacities: rooms,
     jobSpec,
     configurationDocument,
 };
