--- a/features/steps/examples/shardOwners.ts
+++ b/features/steps/examples/shardOwners.ts
@@ -270,7 +270,9 @@
     const previous = { shortOffices: 1 };
     const replacedSoon = countShortTenures({ previous, lastedMs: 1_200, why: claimReasons.ownerSilent });
     const replacedLate = countShortTenures({ previous, lastedMs: 60_000, why: claimReasons.ownerSilent });
-    return `${timeoutFactor({ shortOffices: replacedSoon })} times, then ${timeoutFactor({ shortOffices: replacedLate })}`;
+    return `${timeoutFactor({ shortOffices: replacedSoon })} times, then ${
+        timeoutFactor({ shortOffices: replacedLate })
+    }`;
 };
 
 /** Examples of the modules about members and owners, by the module's name. */
