--- a/features/steps/callerKeySteps.ts
+++ b/features/steps/callerKeySteps.ts
@@ -39,7 +39,7 @@
     const cell = cellOf(this);
     const memberId = cell.memberIds().find(each => each !== cell.owner()) ?? "";
     cell.store.setFault("hang");
-    part(this).mend.push(() => cell.store.setFault("none"));
+    part(this).endFaults.push(() => cell.store.setFault("none"));
     cell.kill(memberId);
     cell.restart(memberId);
     keysOf(this).restarted = memberId;
--- a/features/steps/cellPart.ts
+++ b/features/steps/cellPart.ts
@@ -10,7 +10,7 @@
 } from "@puffinarch/stand-ins";
 import assert from "node:assert/strict";
 import { type Configuration, isFinal, type Job, type JobSpec, type Task } from "puffinarch";
-import { type Ending, endingOf, partOf, type ScenarioWorld } from "./support.js";
+import { type CallOutcome, outcomeOf, partOf, type ScenarioWorld } from "./support.js";
 
 /** State of a scenario that uses a cell. */
 export interface CellPart {
@@ -22,13 +22,13 @@
     /** All accepted jobs. */
     readonly jobIds: Set<string>;
     /** Result of the last call that submitted or cancelled a job. */
-    lastJobCall: Ending<Job> | undefined;
+    lastJobCall: CallOutcome<Job> | undefined;
     /** Results of submitting the same job again, one for each daemon. */
-    resubmissions: readonly Ending<Job>[];
+    resubmissions: readonly CallOutcome<Job>[];
     /** Results of configuration changes. */
-    changes: readonly Ending<Configuration>[];
+    changes: readonly CallOutcome<Configuration>[];
     /** A configuration change that may still be in flight. */
-    pendingChange: Promise<Ending<Configuration>> | undefined;
+    pendingChange: Promise<CallOutcome<Configuration>> | undefined;
 }
 
 const partName = "cell";
@@ -82,9 +82,9 @@
  * @example
  * const ending = await awaitWithClock(cell, daemon.node.jobs.get("j1"));
  */
-export const awaitWithClock = async <T>(cell: Cell, call: Promise<T>): Promise<Ending<T>> => {
-    const result: { ending: Ending<T> | undefined; } = { ending: undefined };
-    void endingOf(call).then(ending => {
+export const awaitWithClock = async <T>(cell: Cell, call: Promise<T>): Promise<CallOutcome<T>> => {
+    const result: { ending: CallOutcome<T> | undefined; } = { ending: undefined };
+    void outcomeOf(call).then(ending => {
         result.ending = ending;
     });
     await cell.until("the call settles", callLimitMs, () => result.ending !== undefined);
--- a/features/steps/configurationSteps.ts
+++ b/features/steps/configurationSteps.ts
@@ -4,7 +4,7 @@
 import { type Configuration, type ConfigurationDocument, initialDocument } from "puffinarch";
 import { awaitWithClock, cellPart } from "./cellPart.js";
 import { createTableFaults } from "./platformSteps.js";
-import { type Ending, endingOf, type ScenarioWorld } from "./support.js";
+import { type CallOutcome, outcomeOf, type ScenarioWorld } from "./support.js";
 
 const faultyVmId = "qro-arena-e1";
 
@@ -13,11 +13,11 @@
     policies: [...initialDocument.policies, { name: `operator-${operator}`, placement: "randomOfK", sampleSize: 2 }],
 });
 
-const applyVia = (world: ScenarioWorld, operator: number, document: unknown): Promise<Ending<Configuration>> => {
+const applyVia = (world: ScenarioWorld, operator: number, document: unknown): Promise<CallOutcome<Configuration>> => {
     const daemons = cellPart(world).cell.daemons();
     const daemon = daemons[operator % daemons.length] ?? assert.fail("the cell has no daemons");
     const context = { expectedVersion: 0, author: `operator-${operator}`, reason: "a change" };
-    return endingOf(daemon.node.configuration.apply(document, context));
+    return outcomeOf(daemon.node.configuration.apply(document, context));
 };
 
 Given("the cell's table has the fault {string}", function(this: ScenarioWorld, fault: string) {
--- a/features/steps/examples/decisions.ts
+++ b/features/steps/examples/decisions.ts
@@ -85,7 +85,7 @@
     return `${queue.take(1, 10, () => 0)[0]?.policy} first`;
 };
 
-const rooms = (): string => {
+const ownerCapacities = (): string => {
     const ownerRooms = [
         { sessionId: "owner-1", inSameDataCentre: true, free: size, mostFree: { ...size, cpuMillis: 100 } },
         { sessionId: "owner-2", inSameDataCentre: false, free: size, mostFree: size },
@@ -124,7 +124,7 @@
     upstreamChoices: upstreamChoice,
     homeState,
     taskQueue,
-    ownerCapacities: rooms,
+    ownerCapacities,
     jobSpec,
     configurationDocument,
 };
--- a/features/steps/examples/ownership.ts
+++ b/features/steps/examples/ownership.ts
@@ -321,7 +321,7 @@
             newAttemptId: taskId => `${taskId}@1`,
             policyOf: () => policy,
             classOf: () => batch,
-            rooms: () => [],
+            ownerCapacities: () => [],
             withinQuota: () => true,
             call: async () => ({}) as never,
             mayAct: own.mayAct,
@@ -458,7 +458,7 @@
     return calls.tenureOf("unit/rack/leon-feria/r1") ?? "no owner is known";
 };
 
-const roomMaker = (): string => {
+const preemptor = (): string => {
     const clock = createFakeClock();
     const ledger = createLedger();
     const table = createAttempts(clock, ledger);
@@ -467,7 +467,7 @@
     ledger.setOpen("w1", true);
     ledger.reserve("w1", "a1", capacity);
     table.track(worker, { ...attemptSpec, size: capacity }, "home-1", "running");
-    const makeRoom = createPreemptor({
+    const preemptOrEarmark = createPreemptor({
         clock,
         meter,
         ledger,
@@ -489,7 +489,7 @@
         gang: false,
         avoid: [],
     };
-    return makeRoom(urgent) ?? "no room";
+    return preemptOrEarmark(urgent) ?? "no room";
 };
 
 const nodeSettings = (): string => `leases of ${defaultNodeSettings.leaseMs} ms`;
@@ -498,7 +498,7 @@
 export const ownershipExamples = {
     homeRecovery,
     attemptOwners,
-    preemptor: roomMaker,
+    preemptor,
     nodeSettings,
     session,
     deputy,
--- a/features/steps/journalSteps.ts
+++ b/features/steps/journalSteps.ts
@@ -9,14 +9,14 @@
 import assert from "node:assert/strict";
 import { createJournal, createSeededRandom, type Journal, type JournalRecord, type Meter, replay } from "puffinarch";
 import { createTableFaults } from "./platformSteps.js";
-import { type Ending, endingOf, kindOfEnding, partOf, type ScenarioWorld } from "./support.js";
+import { type CallOutcome, outcomeKind, outcomeOf, partOf, type ScenarioWorld } from "./support.js";
 
 interface JournalPart {
     readonly clock: FakeClock;
     readonly platform: Platform;
     readonly journal: Journal;
     /** Results of the appends, in their order; undefined while one is pending. */
-    readonly endings: (Ending<void> | undefined)[];
+    readonly endings: (CallOutcome<void> | undefined)[];
     /** Writes of the table before the first append. */
     readonly writesBefore: number;
     ownershipLost: boolean;
@@ -71,7 +71,7 @@
 
 const trackEnding = (state: JournalPart, call: Promise<void>): void => {
     const index = state.endings.push(undefined) - 1;
-    void endingOf(call).then(ending => {
+    void outcomeOf(call).then(ending => {
         state.endings[index] = ending;
     });
 };
@@ -127,11 +127,11 @@
 );
 
 Then("the append is {string}", function(this: ScenarioWorld, outcome: string) {
-    assert.equal(kindOfEnding(part(this).endings[0], "durable"), outcome);
+    assert.equal(outcomeKind(part(this).endings[0], "durable"), outcome);
 });
 
 Then("the other append is {string}", function(this: ScenarioWorld, outcome: string) {
-    assert.equal(kindOfEnding(part(this).endings[1], "durable"), outcome);
+    assert.equal(outcomeKind(part(this).endings[1], "durable"), outcome);
 });
 
 Then(/^the journal holds the record (\d+) times?$/, async function(this: ScenarioWorld, times: string) {
@@ -145,6 +145,6 @@
 
 Then("all of them are durable in at most {int} writes", function(this: ScenarioWorld, writes: number) {
     const { endings, platform, writesBefore } = part(this);
-    assert.ok(endings.every(ending => kindOfEnding(ending, "durable") === "durable"));
+    assert.ok(endings.every(ending => outcomeKind(ending, "durable") === "durable"));
     assert.ok(platform.evidence().writes - writesBefore <= writes);
 });
--- a/features/steps/peerSteps.ts
+++ b/features/steps/peerSteps.ts
@@ -4,7 +4,7 @@
 import type { PeerCallName } from "puffinarch";
 import { createMeter, createTrpcPeers } from "puffinarchd";
 import { daemonAddress } from "./daemonSteps.js";
-import { type Ending, endingOf, kindOfEnding, partOf, type ScenarioWorld } from "./support.js";
+import { type CallOutcome, outcomeKind, outcomeOf, partOf, type ScenarioWorld } from "./support.js";
 
 /** Input of each call between daemons that the features use. */
 const inputs: Readonly<Record<string, unknown>> = {
@@ -50,15 +50,15 @@
     const address = await addressFactories[situation]?.(this) ?? assert.fail(`unknown situation "${situation}"`);
     const peers = createTrpcPeers({ timeoutMs: 300, meter: createMeter() });
     this.closers.push(peers.close);
-    const ending = await endingOf<unknown>(peers.call(address, name as PeerCallName, inputs[name] as never));
-    partOf<{ ending: Ending<unknown>; }>(this, "peerCall", () => ({ ending }));
+    const ending = await outcomeOf<unknown>(peers.call(address, name as PeerCallName, inputs[name] as never));
+    partOf<{ ending: CallOutcome<unknown>; }>(this, "peerCall", () => ({ ending }));
 });
 
 Then("the call ends as {string}", function(this: ScenarioWorld, expected: string) {
-    const { ending } = partOf<{ ending: Ending<unknown>; }>(
+    const { ending } = partOf<{ ending: CallOutcome<unknown>; }>(
         this,
         "peerCall",
         () => assert.fail("the scenario made no call"),
     );
-    assert.equal(kindOfEnding(ending, "answered"), expected, JSON.stringify(ending));
+    assert.equal(outcomeKind(ending, "answered"), expected, JSON.stringify(ending));
 });
--- a/features/steps/platformSteps.ts
+++ b/features/steps/platformSteps.ts
@@ -12,7 +12,7 @@
 import assert from "node:assert/strict";
 import { createSeededRandom, type ObjectStore, type TableStore, type TransactResult, type VmList } from "puffinarch";
 import { createHttpClient, createHttpObjects, createHttpTable, createHttpVmList, createMeter } from "puffinarchd";
-import { endingOf, partOf, type ScenarioWorld } from "./support.js";
+import { outcomeOf, partOf, type ScenarioWorld } from "./support.js";
 
 interface PlatformPart {
     clock: FakeClock;
@@ -149,7 +149,7 @@
 
 When("{int} rows are read at once", async function(this: ScenarioWorld, count: number) {
     const state = part(this);
-    const endings = await Promise.all(Array.from({ length: count }, () => endingOf(state.table.read(["k0"]))));
+    const endings = await Promise.all(Array.from({ length: count }, () => outcomeOf(state.table.read(["k0"]))));
     state.answered = endings.filter(ending => ending.failure === undefined).length;
 });
 
--- a/features/steps/shardCellPart.ts
+++ b/features/steps/shardCellPart.ts
@@ -20,7 +20,7 @@
     /** IDs of the jobs that steps have submitted. */
     jobs: string[];
     /** Functions that end the faults which are in effect. */
-    mend: (() => void)[];
+    endFaults: (() => void)[];
     seed: number;
     /** Monotonic time at which the newest fault or drain began. */
     faultAtMs: number;
@@ -64,7 +64,7 @@
             cell: undefined,
             watch: undefined,
             jobs: [],
-            mend: [],
+            endFaults: [],
             seed: 1,
             faultAtMs: 0,
             formerOwner: undefined,
@@ -86,12 +86,12 @@
 
 /** After each passed scenario: without faults every accepted task runs, has ended, or no worker has room for it. */
 After(async function(this: ScenarioWorld, { result }) {
-    const { cell, mend, watch } = part(this);
+    const { cell, endFaults, watch } = part(this);
     if (cell === undefined || result?.status !== Status.PASSED) {
         return;
     }
     assert.deepEqual(watch?.stalledTasks(), [], "tasks waited during the scenario although workers had room for them");
-    for (const endFault of mend.splice(0)) {
+    for (const endFault of endFaults.splice(0)) {
         endFault();
     }
     assert.deepEqual(
--- a/features/steps/shardFaultSteps.ts
+++ b/features/steps/shardFaultSteps.ts
@@ -99,7 +99,7 @@
         };
         const restart = shardFaults["owner killed"]?.(cell);
         cell.store.setFault("slow");
-        part(this).mend.push(() => {
+        part(this).endFaults.push(() => {
             cell.store.setFault("none");
             restart?.();
         });
@@ -131,12 +131,12 @@
         for (const memberId of others) {
             cell.store.setFault("refuse", memberId);
         }
-        part(this).mend.push(() => others.forEach(memberId => cell.store.setFault("none", memberId)));
+        part(this).endFaults.push(() => others.forEach(memberId => cell.store.setFault("none", memberId)));
     },
 );
 
 When("the other daemons can claim again", function(this: ScenarioWorld) {
-    part(this).mend.shift()?.();
+    part(this).endFaults.shift()?.();
 });
 
 /** Names of faults contain commas themselves, so the longest known name that matches is split off first. */
@@ -160,7 +160,7 @@
     for (const name of parseFaultNames(text)) {
         const endFault = shardFaults[name]?.(cellOf(this));
         assert.ok(endFault !== undefined);
-        part(this).mend.push(endFault);
+        part(this).endFaults.push(endFault);
     }
 });
 
@@ -179,7 +179,7 @@
 });
 
 When("the fault goes", function(this: ScenarioWorld) {
-    for (const endFault of part(this).mend.splice(0)) {
+    for (const endFault of part(this).endFaults.splice(0)) {
         endFault();
     }
 });
@@ -218,7 +218,7 @@
     for (const memberId of others.slice(1)) {
         cell.store.setFault("refuse", memberId);
     }
-    part(this).mend.push(() => {
+    part(this).endFaults.push(() => {
         cell.store.setFault("none");
         for (const memberId of others) {
             cell.store.setFault("none", memberId);
--- a/features/steps/support.ts
+++ b/features/steps/support.ts
@@ -38,7 +38,7 @@
 };
 
 /** The outcome of a call: its value or its failure. */
-export type Ending<T> = { readonly value: T; readonly failure?: undefined; } | {
+export type CallOutcome<T> = { readonly value: T; readonly failure?: undefined; } | {
     readonly value?: undefined;
     readonly failure: Failure;
 };
@@ -49,7 +49,7 @@
  * @example
  * const ending = await endingOf(jobs.submit(spec));
  */
-export const endingOf = async <T>(call: Promise<T>): Promise<Ending<T>> => {
+export const outcomeOf = async <T>(call: Promise<T>): Promise<CallOutcome<T>> => {
     try {
         return { value: await call };
     }
@@ -64,5 +64,5 @@
  * @example
  * kindOfEnding({ value: 1 }, "done"); // "done"
  */
-export const kindOfEnding = (ending: Ending<unknown> | undefined, success: string): ErrorKind | string =>
+export const outcomeKind = (ending: CallOutcome<unknown> | undefined, success: string): ErrorKind | string =>
     ending === undefined ? "open" : ending.failure?.kind ?? success;
--- a/packages/puffinarch/src/core/home.ts
+++ b/packages/puffinarch/src/core/home.ts
@@ -77,7 +77,7 @@
     readonly policyOf: (name: string) => Policy;
     readonly classOf: (name: string) => WorkloadClass;
     /** Estimated free room of the rack owners that tasks can be offered to now. */
-    readonly rooms: () => readonly OwnerCapacity[];
+    readonly ownerCapacities: () => readonly OwnerCapacity[];
     /** Whether the team's quota allows this additional amount. */
     readonly withinQuota: (team: string, size: Resources) => boolean;
     readonly call: CallSession;
@@ -371,7 +371,7 @@
         random,
         newAttemptId: options.newAttemptId,
         policyOf: options.policyOf,
-        ownerCapacities: options.rooms,
+        ownerCapacities: options.ownerCapacities,
         withinQuota: options.withinQuota,
         useOf: team => teamUse.get(team)?.cpuMillis ?? 0,
         addUse: (team, size) => teamUse.set(team, add(teamUse.get(team) ?? noResources, size)),
--- a/packages/puffinarch/src/core/node.ts
+++ b/packages/puffinarch/src/core/node.ts
@@ -253,7 +253,7 @@
         drainTimeoutMs: settings.drainTimeoutMs,
     });
 
-    const rooms = (): readonly OwnerCapacity[] => {
+    const ownerCapacities = (): readonly OwnerCapacity[] => {
         const own = rackOwner.summary();
         const known: OwnerCapacity[] = [{
             sessionId: sessionId(),
@@ -315,7 +315,7 @@
         },
         policyOf: configuration.policyOf,
         classOf: configuration.classOf,
-        rooms,
+        ownerCapacities,
         withinQuota,
         call,
         mayAct: session.mayAct,
--- a/packages/puffinarch/src/core/preemptor.ts
+++ b/packages/puffinarch/src/core/preemptor.ts
@@ -48,7 +48,7 @@
  * Creates the preemptor of a rack owner.
  *
  * @example
- * const reason = makeRoom(offer) ?? "no worker of these racks has room";
+ * const reason = preemptOrEarmark(offer) ?? "no worker of these racks has room";
  */
 export const createPreemptor = (options: PreemptorOptions): Preemptor => {
     const { clock, meter, ledger, earmarks, attempts, workers } = options;
--- a/packages/puffinarch/src/core/rackOwner.ts
+++ b/packages/puffinarch/src/core/rackOwner.ts
@@ -129,7 +129,7 @@
         maxProbeMs,
     });
     const ownedWorkers = new Map<string, OwnedWorker>();
-    const makeRoom = createPreemptor({
+    const preemptOrEarmark = createPreemptor({
         clock,
         meter,
         ledger,
@@ -449,7 +449,7 @@
         });
         const worker = reserveEarmarked(offer) ?? reserveChosen(offer, choice);
         const reason = worker === undefined
-            ? makeRoom(offer) ?? "no worker of these racks has room"
+            ? preemptOrEarmark(offer) ?? "no worker of these racks has room"
             : `${policy.placement} among workers with room`;
         options.onDecision({
             atMs: clock.nowMs(),
