--- a/packages/puffinarch/src/core/shard/adviceAhead.ts
+++ b/packages/puffinarch/src/core/shard/adviceAhead.ts
@@ -31,7 +31,7 @@
  * Tells whether to request advice now for a step that waits for preceding steps.
  *
  * @example
- * if (shouldRequestAhead(step)) { ask(step); }
+ * if (shouldRequestAhead(step)) { requester.requestAhead(step, view, nowMs); }
  */
 export const shouldRequestAhead = (step: ShardStep): boolean => {
     const terms = step.occurrence.job.queue.advice;
--- a/packages/puffinarch/src/core/shard/adviceRequester.ts
+++ b/packages/puffinarch/src/core/shard/adviceRequester.ts
@@ -148,14 +148,15 @@
         const usable = [...workers.values()].filter(worker =>
             isOpen(worker, nowMs, Infinity) && isEligible(worker, step)
         );
-        // Resting workers are included, since tasks avoid workers that failed them also in favour of unasked resting ones.
+        // Resting workers are included, since a task that avoids the workers on which it failed may wait for one of them.
         const unasked = usable.filter(worker => !advice.askedWorkerIds.has(worker.workerId));
         const maxNames = callSize.namesFor(step, waiting);
         if (advice.askedWorkerIds.size === 0) {
             return unasked.sort(byFreeCapacity(step, nowMs)).slice(0, maxNames).map(worker => worker.workerId);
         }
         const runs = countRuns(step);
-        // A call made only once a wait for reserved capacity, a rest or other workers is over would prolong that wait.
+        // The time that a call takes. A call made only at the end of a wait for reserved capacity, for resting workers or for
+        // workers other than those that failed the task would prolong that wait.
         const leadMs = costOf(step, 1) + queueAllowanceMs;
         const hasCapacity = (worker: ShardWorker): boolean =>
             fits(held, view.capacityFor(worker, step, leadMs))
--- a/packages/puffinarch/src/core/shard/capacityView.ts
+++ b/packages/puffinarch/src/core/shard/capacityView.ts
@@ -26,7 +26,7 @@
      */
     capacityFor(worker: ShardWorker, step: ShardStep, aheadMs?: number): Resources;
     /**
-     * Records that a task of the step was placed there. Where it took reserved capacity, other steps may not do so again
+     * Records that a task of the step was placed there. Where it overrode reservations, they may not be overridden again
      * for some time.
      */
     recordPlacement(worker: ShardWorker, step: ShardStep): void;
@@ -60,11 +60,11 @@
 
 /** Whether a step that has been blocked for long may override a reservation; a long-running step need not await the interval. */
 const mayOverride = (step: ShardStep, reservation: Reservation, atMs: number): boolean =>
-    isBlockedLong(step, atMs) && (step.spec.longRunning || reservation.step.nextBypassAtMs <= atMs);
+    isBlockedLong(step, atMs) && (step.spec.longRunning || reservation.step.nextOverrideAtMs <= atMs);
 
 /** Local time from which a reservation that is overridden now may be overridden again. */
 const nextOverrideAtMs = ({ step, freeAtMs }: Reservation, nowMs: number): number =>
-    nowMs + (freeAtMs - nowMs > distantStartMs ? maxBlockedMs : overrideIntervalMs * 2 ** step.timesBypassed);
+    nowMs + (freeAtMs - nowMs > distantStartMs ? maxBlockedMs : overrideIntervalMs * 2 ** step.timesOverridden);
 
 /**
  * Whether a task may use reserved capacity until it is needed: it ends before, or makes progress and can be stopped then for
@@ -119,9 +119,9 @@
             if (fits(held, freeCapacityOf(worker))) {
                 return;
             }
-            for (const reservation of others.filter(reservation => reservation.step.nextBypassAtMs <= nowMs)) {
-                reservation.step.nextBypassAtMs = nextOverrideAtMs(reservation, nowMs);
-                reservation.step.timesBypassed += 1;
+            for (const reservation of others.filter(reservation => reservation.step.nextOverrideAtMs <= nowMs)) {
+                reservation.step.nextOverrideAtMs = nextOverrideAtMs(reservation, nowMs);
+                reservation.step.timesOverridden += 1;
             }
         },
         occupiesReserved: (worker, step) =>
--- a/packages/puffinarch/src/core/shard/cellMember.ts
+++ b/packages/puffinarch/src/core/shard/cellMember.ts
@@ -182,7 +182,7 @@
     /** Claim id of the claim in progress. */
     let claimUnderWay: string | undefined;
     /** Ids of abandoned claims that are conditional on the current owner row; an unanswered write of one may still take effect. */
-    const claimsGivenUp = new Set<string>();
+    const abandonedClaimIds = new Set<string>();
     /** An abandoned claim that took effect after all and has to be resumed. */
     let claimToResume: KnownOwner | undefined;
     /** Fencing token of a claim whose rows are still being read; 0 for none. */
@@ -229,11 +229,11 @@
         if (owner !== undefined && known.version > owner.fencingToken) {
             loseShard("ownerRow");
         }
-        claimToResume = claimsGivenUp.has(known.row.claimId) ? known : undefined;
+        claimToResume = abandonedClaimIds.has(known.row.claimId) ? known : undefined;
         // All other abandoned claims were conditional on the replaced row and can no longer take effect.
-        claimsGivenUp.clear();
+        abandonedClaimIds.clear();
         void resumeClaim();
-        forward.wake();
+        forwarder.wake();
     };
 
     const applyOwnerRows = (rows: readonly Row[]): void => {
@@ -323,7 +323,7 @@
                 const gaveUp = claimedToken !== 0 && claimedToken === knownOwner?.version;
                 nextClaimAtMs = gaveUp ? clock.monotonicMs() + claimBackoffMs : 0;
                 if (!gaveUp) {
-                    claimsGivenUp.add(claimId);
+                    abandonedClaimIds.add(claimId);
                 }
                 log.write("info", gaveUp ? "restoreGivenUp" : "claimLost", { part, seenVersion });
                 return false;
@@ -582,7 +582,7 @@
     });
     void registerSelf();
 
-    const forward = createForwarder({
+    const forwarder = createForwarder({
         clock,
         retryAfterMs: settings.retryAfterMs,
         shard: () => owner,
@@ -616,7 +616,7 @@
         configuration: () => configuration,
         ready: readiness.ready,
         submit: (submission, totalTimeoutMs) =>
-            forward.run({
+            forwarder.run({
                 local: shard => shard.submit(submission),
                 remote: async (address, timeoutMs) => {
                     await members.call(address, "submit", submission, timeoutMs);
@@ -628,7 +628,7 @@
                 ? die("unavailable", "no configuration is known yet", { retryAfterMs: settings.retryAfterMs })
                 : callerKeys.organisationOf(queue, key),
         jobState: (job, totalTimeoutMs) =>
-            forward.run({
+            forwarder.run({
                 local: shard => shard.jobState(job),
                 remote: async (address, timeoutMs) => {
                     const { state, failure } = await members.call(address, "jobState", job, timeoutMs);
@@ -637,7 +637,7 @@
                 totalTimeoutMs,
             }),
         cancel: (job, totalTimeoutMs) =>
-            forward.run({
+            forwarder.run({
                 local: shard => shard.cancel(job),
                 remote: async (address, timeoutMs) => (await members.call(address, "cancelJob", job, timeoutMs)).known,
                 totalTimeoutMs,
--- a/packages/puffinarch/src/core/shard/claimShard.ts
+++ b/packages/puffinarch/src/core/shard/claimShard.ts
@@ -39,7 +39,7 @@
     readonly sequenceVersion: number;
     readonly rows: readonly Row[];
     /** How long the store took for the claim, in ms; the timeout of one write where the claim was resumed. */
-    readonly storeMs: number;
+    readonly storeLatencyMs: number;
 }
 
 const claimRetryPauseMs = 60;
@@ -70,9 +70,9 @@
         if (result.outcome === "committed") {
             return result.version;
         }
-        const heard = options.reportedToken();
-        if (heard !== undefined) {
-            return heard;
+        const reportedToken = options.reportedToken();
+        if (reportedToken !== undefined) {
+            return reportedToken;
         }
         if (result.outcome === "conflict") {
             // An earlier attempt may have taken effect although its answer was lost.
@@ -101,7 +101,9 @@
 export const claimShard = async (options: ClaimOptions): Promise<ClaimedShard | undefined> => {
     const startedAtMs = options.clock.monotonicMs();
     const fencingToken = options.committedToken ?? await writeClaim(options);
-    const storeMs = options.committedToken === undefined ? options.clock.monotonicMs() - startedAtMs : claimTimeoutMs;
+    const storeLatencyMs = options.committedToken === undefined
+        ? options.clock.monotonicMs() - startedAtMs
+        : claimTimeoutMs;
     if (fencingToken === undefined) {
         return undefined;
     }
@@ -117,5 +119,5 @@
     }
     const { rows } = read;
     const sequence = rows.find(row => row.key === sequenceKey);
-    return { fencingToken, sequenceVersion: sequence?.version ?? 0, rows, storeMs };
+    return { fencingToken, sequenceVersion: sequence?.version ?? 0, rows, storeLatencyMs };
 };
--- a/packages/puffinarch/src/core/shard/firstLooks.ts
+++ b/packages/puffinarch/src/core/shard/firstLooks.ts
@@ -10,9 +10,9 @@
 export interface FirstLooks {
     /**
      * Resolves when the look may be sent, with a function to call once it is answered or given up; never resolves if the look
-     * is no longer wanted when its turn comes.
+     * is no longer needed when its turn comes.
      */
-    enter(isWanted: () => boolean): Promise<() => void>;
+    enter(isNeeded: () => boolean): Promise<() => void>;
 }
 
 /**
@@ -47,14 +47,14 @@
  */
 export const createFirstLooks = (clock: Clock): FirstLooks => {
     const turns = new Set<Turn>();
-    const waiting: { readonly isWanted: () => boolean; readonly send: () => void; }[] = [];
+    const waiting: { readonly isNeeded: () => boolean; readonly send: () => void; }[] = [];
     let lastNumber = 0;
     let lastAnswerAtMs = -Infinity;
 
     const admitWaiting = (): void => {
         while (turns.size < maxConcurrentLooks && waiting.length > 0) {
             const next = waiting.shift();
-            if (next?.isWanted() === true) {
+            if (next?.isNeeded() === true) {
                 next.send();
             }
         }
@@ -98,9 +98,9 @@
     };
 
     return {
-        enter: isWanted =>
+        enter: isNeeded =>
             new Promise(resolve => {
-                waiting.push({ isWanted, send: () => resolve(beginTurn()) });
+                waiting.push({ isNeeded, send: () => resolve(beginTurn()) });
                 admitWaiting();
             }),
     };
--- a/packages/puffinarch/src/core/shard/jobModel.ts
+++ b/packages/puffinarch/src/core/shard/jobModel.ts
@@ -164,8 +164,8 @@
      * How often steps that were blocked for long took capacity that was reserved for this one, and the earliest local time at which that may happen
      * again.
      */
-    timesBypassed: number;
-    nextBypassAtMs: number;
+    timesOverridden: number;
+    nextOverrideAtMs: number;
 }
 
 /** An occurrence of a job: one execution of all of its steps. */
@@ -245,8 +245,8 @@
         readyAtMs: 0,
         blockedAtMs: undefined,
         blockedBeforeMs: 0,
-        timesBypassed: 0,
-        nextBypassAtMs: 0,
+        timesOverridden: 0,
+        nextOverrideAtMs: 0,
     };
     for (let index = 0; index < spec.count; index += 1) {
         const { jobId } = occurrence.job.submission;
--- a/packages/puffinarch/src/core/shard/missingRuns.ts
+++ b/packages/puffinarch/src/core/shard/missingRuns.ts
@@ -20,7 +20,7 @@
     readonly onChange: (job: ShardJob) => void;
     /** Called when a former owner's run is gone; its start may still be in flight. */
     readonly onFormerGone: (worker: ShardWorker, run: ShardRun) => void;
-    /** Called when a run is dropped that may have crashed its worker without anyone seeing it. */
+    /** Called when a run is dropped that may have crashed an incarnation of its worker that this owner did not observe. */
     readonly onPossibleCrash: (worker: ShardWorker, run: ShardRun) => void;
     /** Called when the start of a run was lost: the worker has not carried it out. An absent run may still be carried out later. */
     readonly onStartLost: (run: ShardRun) => void;
--- a/packages/puffinarch/src/core/shard/nextIncarnation.ts
+++ b/packages/puffinarch/src/core/shard/nextIncarnation.ts
@@ -1,6 +1,6 @@
 /**
- * Moves a worker's state to its next incarnation when the worker answers under its id as another incarnation: which runs of
- * the former one are over, which the next one may have, and which may have crashed the former one.
+ * Moves a worker's state to its next incarnation, once another incarnation answers under its id: which runs of the former
+ * incarnation are over, which the next one may have, and which may have crashed the former one.
  */
 
 import type { WorkerEntry } from "../../types/work.js";
@@ -64,7 +64,8 @@
 ];
 
 /**
- * Takes the runs that the next incarnation may have from an ended incarnation, and sorts its suspects.
+ * Releases the runs that the next incarnation may have from an ended one, and separates the undecided suspects from those that
+ * may be counted now.
  *
  * @example
  * const { carried } = leaveIncarnation(worker, createDelayedStarts(clock), clock.monotonicMs());
@@ -92,7 +93,7 @@
     readonly bornAtMs: number | undefined;
     /** The platform's entry for the worker; undefined where it is not listed. */
     readonly listed: WorkerEntry | undefined;
-    /** Local time by which every lease is over that late orders for the former incarnation may have given it. */
+    /** Local time by which every lease is over that it may have been granted by late orders for the former incarnation. */
     readonly leaseHorizonMs: number;
     /** Local time. */
     readonly nowMs: number;
--- a/packages/puffinarch/src/core/shard/ownerWatch.ts
+++ b/packages/puffinarch/src/core/shard/ownerWatch.ts
@@ -344,8 +344,9 @@
 
     /**
      * Claims the shard from an owner that answers its peers but cannot reach the store, where this daemon can. A daemon that does
-     * not ping the owner each round measures the store's health from its own first quick read: otherwise, at the end of an outage
-     * of 4 s, a weak VM of 25 such daemons claims from a healthy owner, and three more owners follow within 14 s.
+     * not ping the owner in each round may have missed slow reads, so it counts the store as healthy only from its own first quick
+     * read. Otherwise, at the end of an outage of 4 s, a weak VM among 25 such daemons claims the shard from a healthy owner, and
+     * three more owners follow within 14 s.
      */
     const replaceStalledOwner = async (version: number, stalledMs: number): Promise<void> => {
         if (!mayClaim() || stalledMs < stalledOwnerMs * timeoutScale() + claimDelayMs()) {
--- a/packages/puffinarch/src/core/shard/pacer.ts
+++ b/packages/puffinarch/src/core/shard/pacer.ts
@@ -13,6 +13,7 @@
 const raiseBelow = 0.55;
 const fullPercent = 100;
 const raiseStepPercent = 20;
+/** A share that halving would bring below this is set to 0. */
 const minPercent = 10;
 /** Wait after a change before a share is raised: the reported latency covers 500 ms and a change takes effect after 100 ms. */
 const raiseDelayMs = 700;
@@ -45,8 +46,8 @@
     return {
         review: (worker, pace) => {
             const running = [...worker.runs.values()].filter(run => run.phase === runPhases.running);
-            const filling = running.filter(run => run.task.step.spec.fills);
-            if (filling.length === 0) {
+            const bestEffort = running.filter(run => run.task.step.spec.fills);
+            if (bestEffort.length === 0) {
                 return;
             }
             let worstShare = 0;
@@ -58,7 +59,7 @@
             }
             const nowMs = clock.monotonicMs();
             const settled = nowMs - (changedAtMs.get(worker.workerId) ?? -raiseDelayMs) >= raiseDelayMs;
-            for (const run of filling) {
+            for (const run of bestEffort) {
                 const percent = nextPercent(run.percent, worstShare);
                 const isRaise = percent > run.percent;
                 if (percent === run.percent || (isRaise && !settled)) {
--- a/packages/puffinarch/src/core/shard/peers.ts
+++ b/packages/puffinarch/src/core/shard/peers.ts
@@ -217,9 +217,9 @@
         neighbours,
         nextRemaining: pinged => {
             const ids = new Set(pinged.map(({ memberId }) => memberId));
-            const rest = allInOrder().filter(({ memberId }) => !ids.has(memberId));
+            const remaining = allInOrder().filter(({ memberId }) => !ids.has(memberId));
             remainingIndex += 1;
-            return rest[remainingIndex % Math.max(1, rest.length)];
+            return remaining[remainingIndex % Math.max(1, remaining.length)];
         },
         isSilent: memberId => silences.has(memberId),
         applyRows: rows => {
--- a/packages/puffinarch/src/core/shard/runOrders.ts
+++ b/packages/puffinarch/src/core/shard/runOrders.ts
@@ -75,7 +75,7 @@
     const { clock, log, meter, workers, worker, target, leaseMs, delayedStarts, orderPauseMs, isClosed, endsLink } =
         options;
 
-    const isWanted = (run: ShardRun): boolean =>
+    const isStarting = (run: ShardRun): boolean =>
         !isClosed() && run.phase === runPhases.starting && worker.runs.has(runKey(run.task.name, run.run));
 
     /** Marks a run as running: its worker answered that it is there, or that it has ended there already, which the next look lists. */
@@ -102,7 +102,7 @@
             await committed;
             options.renewToken();
         }
-        if (isWanted(run) && options.token() > sentToken) {
+        if (isStarting(run) && options.token() > sentToken) {
             run.absenceProvenAfterMs = clock.monotonicMs();
             options.lookSoon();
         }
@@ -156,14 +156,14 @@
     };
 
     const start = async (run: ShardRun, checkpoint: string, ticket: string): Promise<void> => {
-        while (isWanted(run)) {
+        while (isStarting(run)) {
             if (!stillFits(worker, run)) {
                 options.onNotStarted(run, orderOutcomes.noRoom);
                 return;
             }
             const sentToken = options.token();
             const outcome = await send(run, checkpoint, ticket);
-            if (!isWanted(run)) {
+            if (!isStarting(run)) {
                 return;
             }
             if (outcome === undefined) {
@@ -198,7 +198,7 @@
         }
     };
 
-    /** A worker that gets a stop for a run it does not have rejects that run's start when it arrives. */
+    /** Sends a stop for a run that the worker does not have, which makes the worker reject the run's start when it arrives. */
     const refuse = async ({ taskName, run }: DelayedStart): Promise<void> => {
         while (!isClosed() && delayedStarts.has(worker.workerId, { taskName, run })) {
             const order = { taskName, run, fencingToken: options.token() };
@@ -213,7 +213,7 @@
         }
     };
 
-    /** Repeats the stop of a run that the worker rejects anyway, since another start might get lost too. */
+    /** Repeats the stop of a run that the worker rejects anyway, until it is answered: another start might get lost as well. */
     const probe = async ({ taskName, run }: DelayedStart): Promise<void> => {
         while (!isClosed() && worker.unansweredOrder !== undefined) {
             const order = { taskName, run, fencingToken: options.token() };
--- a/packages/puffinarch/src/core/shard/shardOwner.ts
+++ b/packages/puffinarch/src/core/shard/shardOwner.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of a shard: the one daemon that accepts its jobs, places their tasks and calls its workers. The durable state is in
- * the shard's rows. Runs are listed by the workers, from which a new owner restores the rest of the state.
+ * The owner of a shard: the one daemon that accepts its jobs, places their tasks and calls its workers. A new owner restores
+ * the state from the shard's rows and from the runs that the workers list.
  */
 
 import {
@@ -194,7 +194,7 @@
         part,
         ownerVersion: fencingToken,
         sequenceVersion: claimed.sequenceVersion,
-        storeLatencyMs: claimed.storeMs,
+        storeLatencyMs: claimed.storeLatencyMs,
         claimId,
         encode,
         onCommitted: version => {
@@ -313,7 +313,7 @@
         });
     };
 
-    const adviceDesk = createAdviceDispatcher({
+    const adviceDispatcher = createAdviceDispatcher({
         clock,
         log,
         meter,
@@ -371,7 +371,7 @@
         meter,
         settings,
         workers: workers.all,
-        dispatcher: adviceDesk,
+        dispatcher: adviceDispatcher,
         onPlanned: startPlanned,
         onPreempt: workers.stop,
         wake: () => wake(),
@@ -482,7 +482,7 @@
         if (taskPlacer.activeSteps() > 0) {
             wake();
         }
-        adviceDesk.wake();
+        adviceDispatcher.wake();
         clock.setTimer(tickMs, tick);
     };
 
@@ -496,7 +496,7 @@
         closed = true;
         rejectWaiting(errorOf({ kind: "mayHaveRun", message: "this daemon no longer owns the shard" }));
         commits.stop();
-        adviceDesk.close();
+        adviceDispatcher.close();
         workers.close();
         upkeep?.close();
     };
@@ -596,14 +596,14 @@
         ownershipLost,
     });
 
-    const cancel = async (wanted: JobReference): Promise<boolean> => {
-        const { jobId } = wanted;
+    const cancel = async (reference: JobReference): Promise<boolean> => {
+        const { jobId } = reference;
         const job = jobs.get(jobId);
         if (job === undefined) {
             const hasEndedBefore = (await endedJobs).has(jobId);
-            return hasEndedBefore ? isVisible(wanted) : jobs.has(jobId) && cancel(wanted);
+            return hasEndedBefore ? isVisible(reference) : jobs.has(jobId) && cancel(reference);
         }
-        if (!isVisible(wanted)) {
+        if (!isVisible(reference)) {
             return false;
         }
         cancelJob(job, clock.monotonicMs());
@@ -638,7 +638,7 @@
         updateWaves: waves => upkeep?.update(waves),
         wake: () => {
             wake();
-            adviceDesk.wake();
+            adviceDispatcher.wake();
         },
         stalledMs: commits.stalledMs,
         lagMs: () => lagMs,
--- a/packages/puffinarch/src/core/shard/shardWorkers.ts
+++ b/packages/puffinarch/src/core/shard/shardWorkers.ts
@@ -205,10 +205,10 @@
     };
 
     /**
-     * Ends an incarnation and remembers it, since its entry may stay listed until it expires or that of the next incarnation
+     * Ends an incarnation and records it, since its entry may stay listed until it expires or that of the next incarnation
      * replaces it.
      */
-    const loseWorker = (worker: ShardWorker, reason: string): void => {
+    const endAndRecordIncarnation = (worker: ShardWorker, reason: string): void => {
         endedIncarnations.set(worker.workerId, worker.bornAtMs ?? worker.entry.bornAtMs);
         endIncarnation(worker, reason);
     };
@@ -237,8 +237,8 @@
         const next = enterIncarnation(former, isLeaving(former) ? { ...left, undecided: [] } : left, {
             bornAtMs,
             listed: listing.get(workerId),
-            // Late orders for the former incarnation may have reached this one. Their deadlines are on the former clock, so
-            // each may give the longest lease that a worker grants.
+            // Late orders for the former incarnation may have reached this one. Their deadlines refer to the clock
+            // of the former incarnation, so each may result in the longest lease that a worker grants.
             leaseHorizonMs: nowMs + settings.leaseLimitMs / slowestClockRate,
             nowMs,
         });
@@ -336,7 +336,7 @@
                 recordConfirmedRuns(crashed).forEach(job => changedJobs.add(job));
                 void commitChangedJobs();
             },
-            onIncarnationOver: gone => loseWorker(gone, "otherIncarnation"),
+            onIncarnationOver: gone => endAndRecordIncarnation(gone, "otherIncarnation"),
             onRestarted: beginNextIncarnation,
             onFenced: () => options.onFenced(),
             onNotStarted: (holder, run, outcome) => {
@@ -455,8 +455,8 @@
         // capacity before it did.
         const missingSinceMs = clock.monotonicMs() - Math.max(0, formerAgeMs - maxListingAgeMs);
         listing = new Map(entries.map(entry => [entry.workerId, entry]));
-        // The entry of an ended incarnation may stay listed longer than that of its successor at the address, which is not over
-        // for that.
+        // Entries of ended incarnations are left out: one may still be listed together with the new worker at its address, which
+        // it does not replace.
         const byAddress = new Map(
             entries.filter(entry => !hasEndedIncarnation(entry)).map(entry => [entry.address, entry.workerId]),
         );
@@ -493,7 +493,7 @@
                 : worker.unlistedAtMs ?? missingSinceMs;
             const next = byAddress.get(worker.entry.address);
             if (next !== undefined && next !== worker.workerId) {
-                loseWorker(worker, "addressTaken");
+                endAndRecordIncarnation(worker, "addressTaken");
             }
         }
         void commitChangedJobs();
@@ -562,7 +562,7 @@
         endIncarnation: (workerId, reason) => {
             const worker = workers.get(workerId);
             if (worker !== undefined) {
-                loseWorker(worker, reason);
+                endAndRecordIncarnation(worker, reason);
             }
         },
         checkLeases: expireLeases,
--- a/packages/puffinarch/src/core/shard/taskPlacer.ts
+++ b/packages/puffinarch/src/core/shard/taskPlacer.ts
@@ -40,7 +40,7 @@
     updateJob(job: ShardJob): void;
     /** Removes all steps of a job. */
     removeJob(job: ShardJob): void;
-    /** Runs one pass: places waiting tasks and copies, and requests advice. */
+    /** Runs one pass: places waiting tasks and speculative copies of running ones, and requests advice. */
     runPass(): void;
     /** Number of steps that are ready and have waiting tasks. */
     waitingSteps(): number;
@@ -288,9 +288,9 @@
             lastPlan.reservations.forEach(view.reserve);
             return lastPlan.reservations;
         }
-        const tailMs = step.occurrence.timing?.remainingByStepMs[step.number] ?? 0;
+        const remainingMs = step.occurrence.timing?.remainingByStepMs[step.number] ?? 0;
         // Long-running steps and steps without an objective have no due time; any delay of their start is a loss.
-        const slackMs = Number.isFinite(dueAtMs) ? dueAtMs - wallMs - tailMs : 0;
+        const slackMs = Number.isFinite(dueAtMs) ? dueAtMs - wallMs - remainingMs : 0;
         const reservations = planReservations({
             step,
             waiting,
@@ -354,8 +354,8 @@
                 waiting: all.length - runs.length,
             });
             plans.delete(step);
-            step.timesBypassed = 0;
-            step.nextBypassAtMs = 0;
+            step.timesOverridden = 0;
+            step.nextOverrideAtMs = 0;
             onPlanned(step.occurrence.job, runs);
             if (step.spec.speculative && !step.spec.gang) {
                 copyable.add(step);
--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -249,7 +249,7 @@
 
     /**
      * Stops the runs that can be moved off the VM; true once it may be ordered: nothing runs there, or the time for the evacuation is over
-     * and what is left may be interrupted.
+     * and the runs that are left may be interrupted.
      */
     const evacuate = (progress: VmProgress, evacuationMs: number): boolean => {
         // The worker may have restarted and lost its cordon.
@@ -361,8 +361,8 @@
     const applyWaves = async (waves: readonly UpkeepWave[]): Promise<void> => {
         storedRecords ??= options.rows.read();
         const records = await storedRecords;
-        const wanted = new Set(waves.map(wave => wave.number));
-        for (const number of [...open.keys()].filter(known => !wanted.has(known))) {
+        const requested = new Set(waves.map(wave => wave.number));
+        for (const number of [...open.keys()].filter(known => !requested.has(known))) {
             withdraw(number);
         }
         for (const wave of waves) {
--- a/packages/puffinarch/src/core/shard/urgency.ts
+++ b/packages/puffinarch/src/core/shard/urgency.ts
@@ -39,7 +39,7 @@
 /**
  * Factor on the estimated remaining time of a job when its end is predicted. A smaller factor spends the capacity of an
  * overloaded shard on jobs that just miss their objective: with 60 workers at 1.04 times their capacity, 76 of 205 checks
- * were in time with 0.7, 117 with 1 and 149 with 1.2.
+ * are in time with 0.7, 117 with 1 and 149 with 1.2.
  */
 const remainingTimeFactor = 1.1;
 
@@ -54,6 +54,7 @@
     return Number.isFinite(least) ? least : 1;
 };
 
+/** Number of waves in which the objective assumes that the tasks of a step run; 1 where no listed worker is eligible. */
 const wavesOf = (step: ShardStep, workers: ReadonlyMap<string, ShardWorker>): number => {
     const held = reservedResources(step.spec);
     let maxTasks = 0;
@@ -73,10 +74,11 @@
     const { advice, stretch, targetRuntimeMs } = job.queue;
     const adviceMs = advice === undefined ? 0 : advice.decideMs + advisedWorkersInObjective * advice.eachMs;
     const lengthsMs = steps.map(step => adviceMs + wavesOf(step, workers) * step.spec.estimateMs);
-    const headsMs: number[] = [];
+    /** For each step, the longest path of work from the start of the occurrence to the end of the step. */
+    const pathToEndMs: number[] = [];
     for (const [index, step] of steps.entries()) {
-        headsMs.push(
-            (lengthsMs[index] ?? 0) + Math.max(0, ...step.spec.after.map(predecessor => headsMs[predecessor] ?? 0)),
+        pathToEndMs.push(
+            (lengthsMs[index] ?? 0) + Math.max(0, ...step.spec.after.map(predecessor => pathToEndMs[predecessor] ?? 0)),
         );
     }
     const remainingByStepMs = [...lengthsMs];
@@ -86,10 +88,11 @@
             remainingByStepMs[predecessor] = Math.max(remainingByStepMs[predecessor] ?? 0, pathMs);
         }
     }
-    const objectiveMs = stretch === 0 ? Infinity : stretch * Math.max(0, ...headsMs) + targetRuntimeMs;
+    const objectiveMs = stretch === 0 ? Infinity : stretch * Math.max(0, ...pathToEndMs) + targetRuntimeMs;
     occurrence.timing = { objectiveMs, remainingByStepMs };
 };
 
+/** Time from which the objective counts, in milliseconds since the Unix epoch: acceptance, or the scheduled start. */
 const startOf = ({ job, number }: ShardOccurrence): number => {
     const { startAtMs, intervalMs, repeatCount } = job.submission.schedule;
     return repeatCount === 0 ? job.acceptedAtMs : startAtMs + number * intervalMs;
--- a/packages/puffinarch/src/core/shard/waveRows.ts
+++ b/packages/puffinarch/src/core/shard/waveRows.ts
@@ -83,7 +83,7 @@
  */
 export const createWaveRows = (options: WaveRowsOptions): WaveRows => {
     const { clock, log, store, part, ownerVersion, stateRow, isClosed } = options;
-    const shown = new Map<number, WaveState>();
+    const reportedStates = new Map<number, WaveState>();
 
     const record = async (wave: number, entry: WaveRecord): Promise<boolean> => {
         const { outcome } = await store.transact({
@@ -95,7 +95,7 @@
     };
 
     const show = async (wave: number, state: WaveState): Promise<boolean> => {
-        if (shown.get(wave) === state) {
+        if (reportedStates.get(wave) === state) {
             return true;
         }
         const row = stateRow(wave, state);
@@ -104,7 +104,7 @@
         const { outcome } = await store.transact({ expect, puts: [row], removes: [] }, saveTimeoutMs);
         const saved = outcome === "committed" || outcome === "conflict";
         if (saved) {
-            shown.set(wave, state);
+            reportedStates.set(wave, state);
         }
         return saved;
     };
--- a/packages/puffinarch/src/core/shard/workerWatch.ts
+++ b/packages/puffinarch/src/core/shard/workerWatch.ts
@@ -36,9 +36,9 @@
     readonly stopUnknown: (worker: ShardWorker, taskName: string, run: number) => void;
 }
 
-/** Applies looks to the jobs in memory. */
+/** Applies answers to looks to the jobs in memory. */
 export interface WorkerWatch {
-    /** Applies one look; returns the highest end number applied so far. */
+    /** Applies the answer to one look; returns the highest end number applied so far. */
     applyLook(worker: ShardWorker, look: LookResult & { readonly outcome: "done"; }, sentAtMs: number): number;
     /**
      * Drops runs whose worker's incarnation, or whose leases, are over: all runs of the worker, or those given. Returns those
@@ -69,7 +69,7 @@
 export const createWorkerWatch = (options: WorkerWatchOptions): WorkerWatch => {
     const { clock, log, meter, jobOf, onChange } = options;
 
-    const notePossibleCrash = (worker: ShardWorker, run: ShardRun): void => {
+    const recordPossibleCrash = (worker: ShardWorker, run: ShardRun): void => {
         const { task } = run;
         if (isLeaving(worker) || !countPossibleCrash(run, clock.monotonicMs())) {
             return;
@@ -86,7 +86,7 @@
         });
         onChange(task.step.occurrence.job);
     };
-    const missingRuns = createMissingRuns({ ...options, onPossibleCrash: notePossibleCrash });
+    const missingRuns = createMissingRuns({ ...options, onPossibleCrash: recordPossibleCrash });
 
     const updateFailureStreak = (
         worker: ShardWorker,
@@ -108,7 +108,7 @@
         }
         worker.failuresInARow += 1;
         worker.failedJobs.add(jobId);
-        // Runs sent before a rest do not renew it, since it could go on without limit.
+        // A failed run that was sent before the rest does not extend it; otherwise a rest could go on without limit.
         if (
             worker.failuresInARow >= minFailuresToRest && worker.failedJobs.size >= minFailedJobsToRest
             && sentAtMs >= worker.restBeganAtMs
@@ -175,6 +175,7 @@
         onChange(job);
     };
 
+    /** Adds a run that the worker lists and this owner did not know; a run that its task does not need is stopped. */
     const adopt = (worker: ShardWorker, task: ShardTask, row: RunningRun): void => {
         const nowMs = clock.monotonicMs();
         const run = newRun(task, worker.workerId, row.run, {
@@ -187,18 +188,18 @@
             percent: row.percent,
             figure: row.figure,
         });
-        const wanted = !task.done && task.runs.length === 0 && row.run >= task.lastRun
+        const isNeeded = !task.done && task.runs.length === 0 && row.run >= task.lastRun
             && !hasEnded(task.step.occurrence.job);
         task.lastRun = Math.max(task.lastRun, row.run);
         task.runs.push(run);
         adoptRun(worker, run);
-        log.write("info", wanted ? "runAdopted" : "runUnwanted", {
+        log.write("info", isNeeded ? "runAdopted" : "runUnwanted", {
             task: task.name,
             run: row.run,
             ...incarnationOf(worker),
         });
         onChange(task.step.occurrence.job);
-        if (!wanted) {
+        if (!isNeeded) {
             options.stop(worker, run);
         }
     };
@@ -360,7 +361,7 @@
                     markBlockedLong(run.task.step, nowMs);
                 }
                 if (run.absent || run.mayHaveCrashed) {
-                    notePossibleCrash(worker, run);
+                    recordPossibleCrash(worker, run);
                 }
                 onChange(run.task.step.occurrence.job);
             }
