--- a/features/steps/examples/shardJobs.ts
+++ b/features/steps/examples/shardJobs.ts
@@ -49,7 +49,7 @@
         nextOrder: 1,
         commits,
         commit: () => new Promise(() => {}),
-        consider: () => {},
+        scheduleJob: () => {},
         dropPlannedStarts: () => {},
         endedJobs: Promise.resolve(new Map()),
         ownershipLost: new Promise<never>(() => {}),
--- a/features/steps/shardModuleSteps.ts
+++ b/features/steps/shardModuleSteps.ts
@@ -219,7 +219,7 @@
             await sleep(clock, commitsBegun === 1 ? 100 : 10_000);
             job.stored = true;
         },
-        consider: () => {},
+        scheduleJob: () => {},
         dropPlannedStarts: () => {},
         endedJobs: Promise.resolve(new Map()),
         ownershipLost: new Promise<never>(() => {}),
--- a/packages/puffinarch/src/core/shard/acceptance.ts
+++ b/packages/puffinarch/src/core/shard/acceptance.ts
@@ -30,7 +30,7 @@
     /** Resolves once the job's present state is durable. */
     readonly commit: (job: ShardJob) => Promise<void>;
     /** Requests advice and plans starts for the job. */
-    readonly consider: (job: ShardJob) => void;
+    readonly scheduleJob: (job: ShardJob) => void;
     /** Drops the starts that were planned for the job. */
     readonly dropPlannedStarts: (job: ShardJob) => void;
     /** Jobs that ended under former owners, by ID. */
@@ -72,7 +72,7 @@
  * Creates the function that accepts jobs; it resolves once the job is durable.
  *
  * @example
- * const submit = createAcceptance({ clock, log, meter, settings, jobs, queueOf, accounts, nextOrder, commits, commit, consider, dropPlannedStarts, endedJobs, ownershipLost });
+ * const submit = createAcceptance({ clock, log, meter, settings, jobs, queueOf, accounts, nextOrder, commits, commit, scheduleJob, dropPlannedStarts, endedJobs, ownershipLost });
  * await submit(submission);
  */
 export const createAcceptance = (options: AcceptanceOptions): (submission: JobSubmission) => Promise<void> => {
@@ -86,7 +86,7 @@
         accounts,
         commits,
         commit,
-        consider,
+        scheduleJob,
         endedJobs,
         ownershipLost,
     } = options;
@@ -159,7 +159,7 @@
         }
         const job = register(submission);
         // Requests advice and plans starts while the acceptance is being written, so that they share its commit batch or a later one.
-        consider(job);
+        scheduleJob(job);
         await awaitAcceptance(job);
         meter.count("jobsAccepted");
         log.write("info", "jobAccepted", {
--- a/packages/puffinarch/src/core/shard/blockedSteps.ts
+++ b/packages/puffinarch/src/core/shard/blockedSteps.ts
@@ -29,7 +29,7 @@
 };
 
 /**
- * Tells whether workers have capacity for all tasks of a step that must start together, ignoring reservations and rests.
+ * Tells whether workers have capacity for all tasks of a step that must start together, ignoring reservations and whether the workers rest.
  *
  * @example
  * recordBlocked(step, isBlocked(step, { workers, nowMs }), nowMs);
@@ -38,9 +38,9 @@
     const runs = countRuns(step);
     let needed = minTasksToStart(step);
     for (const worker of snapshot.workers.values()) {
-        const places = countTasksThatFit(freeCapacityOf(worker), step, runs.get(worker.workerId) ?? 0);
-        if (places > 0 && isUsable(worker, step, snapshot)) {
-            needed -= places;
+        const fitting = countTasksThatFit(freeCapacityOf(worker), step, runs.get(worker.workerId) ?? 0);
+        if (fitting > 0 && isUsable(worker, step, snapshot)) {
+            needed -= fitting;
         }
         if (needed <= 0) {
             return true;
--- a/packages/puffinarch/src/core/shard/firstLooks.ts
+++ b/packages/puffinarch/src/core/shard/firstLooks.ts
@@ -60,7 +60,7 @@
         }
     };
 
-    const noteAnswer = (number: number): void => {
+    const recordAnswer = (number: number): void => {
         lastAnswerAtMs = clock.monotonicMs();
         for (const turn of [...turns]) {
             if (turn.number < number) {
@@ -93,7 +93,7 @@
         turns.add(turn);
         return () => {
             leave();
-            noteAnswer(number);
+            recordAnswer(number);
         };
     };
 
--- a/packages/puffinarch/src/core/shard/lostRuns.ts
+++ b/packages/puffinarch/src/core/shard/lostRuns.ts
@@ -33,7 +33,7 @@
 }
 
 /**
- * Creates the losses of one owner. `onSettled` is called for a job once one of its losses is settled, so that its row is
+ * Creates the table of lost runs of one owner. `onSettled` is called for a job once one of its losses is settled, so that its row is
  * written without that loss: a successor might count it for a later crash.
  *
  * @example
--- a/packages/puffinarch/src/core/shard/memberRows.ts
+++ b/packages/puffinarch/src/core/shard/memberRows.ts
@@ -4,7 +4,7 @@
 import type { KnownOwner, MemberRow, OwnerRow, Row } from "../../types/cellPorts.js";
 import { type Decoded, decodeRow } from "../../utils/decode.js";
 
-const text = z.string("a text").min(1, "a text that is not empty");
+const text = z.string("a string").min(1, "a string that is not empty");
 /** Daemons connect to each other over plain HTTP. */
 const addressAllowed = "an address such as http://10.1.0.13:7720";
 
--- a/packages/puffinarch/src/core/shard/shardOwner.ts
+++ b/packages/puffinarch/src/core/shard/shardOwner.ts
@@ -582,7 +582,7 @@
         nextOrder,
         commits,
         commit,
-        consider: job => {
+        scheduleJob: job => {
             taskPlacer.updateJob(job);
             wake();
         },
--- a/packages/puffinarch/src/core/shard/workerTable.ts
+++ b/packages/puffinarch/src/core/shard/workerTable.ts
@@ -194,7 +194,7 @@
 export const stillFits = (worker: ShardWorker, run: ShardRun): boolean =>
     fitsWith(run.held, freeCapacityOf(worker)) && !isOverCap(jobOf(run).account, run.held);
 
-const takeRoom = (worker: ShardWorker, { absent, held }: ShardRun): void => {
+const addHeld = (worker: ShardWorker, { absent, held }: ShardRun): void => {
     if (absent) {
         worker.absentRuns += 1;
         return;
@@ -202,7 +202,7 @@
     worker.held = add(worker.held, held);
 };
 
-const returnRoom = (worker: ShardWorker, { absent, held }: ShardRun): void => {
+const subtractHeld = (worker: ShardWorker, { absent, held }: ShardRun): void => {
     if (absent) {
         worker.absentRuns -= 1;
         return;
@@ -220,14 +220,14 @@
     if (run.absent === absent) {
         return;
     }
-    returnRoom(worker, run);
+    subtractHeld(worker, run);
     run.absent = absent;
-    takeRoom(worker, run);
+    addHeld(worker, run);
 };
 
-/** Takes capacity on a worker and charges the organisation's cap. Both change together, only here and in `releaseRun`. */
-const takeRun = (worker: ShardWorker, run: ShardRun): void => {
-    takeRoom(worker, run);
+/** Reserves capacity on a worker and charges the organisation's account. Both change together, only here and in `releaseRun`. */
+const addRun = (worker: ShardWorker, run: ShardRun): void => {
+    addHeld(worker, run);
     worker.runs.set(runKey(run.task.name, run.run), run);
     charge(jobOf(run).account, run.held);
 };
@@ -242,7 +242,7 @@
     if (!fits(run.held, freeCapacityOf(worker))) {
         return false;
     }
-    takeRun(worker, run);
+    addRun(worker, run);
     return true;
 };
 
@@ -252,7 +252,7 @@
  * @example
  * adoptRun(worker, run);
  */
-export const adoptRun = takeRun;
+export const adoptRun = addRun;
 
 /**
  * Returns the capacity of a run that its task keeps, since the run may move to the worker's next incarnation.
@@ -262,7 +262,7 @@
  */
 export const releaseRun = (worker: ShardWorker, run: ShardRun): void => {
     if (worker.runs.delete(runKey(run.task.name, run.run))) {
-        returnRoom(worker, run);
+        subtractHeld(worker, run);
         release(jobOf(run).account, run.held);
     }
 };
