--- a/packages/puffinarch/src/core/shard/shardSettings.ts
+++ b/packages/puffinarch/src/core/shard/shardSettings.ts
@@ -35,7 +35,7 @@
      * most a third of the lease, so that two looks may fail.
      */
     readonly lookWaitMs: number;
-    /** Pause between looks whose answers contain no changes to commit. */
+    /** Longest pause between looks at a worker that does not answer; also the longest wait for the commit of ends before the next look. */
     readonly lookPauseMs: number;
     /** Pause before an unanswered order to a worker is sent again. */
     readonly orderPauseMs: number;
--- a/packages/puffinarch/src/core/shard/trials.ts
+++ b/packages/puffinarch/src/core/shard/trials.ts
@@ -40,7 +40,7 @@
 
 /**
  * Tells whether a worker fell silent less than `atWorkMs` after a run's start was sent. The task may have crashed it, and a
- * second copy would crash another worker.
+ * second copy might crash another worker.
  *
  * @example
  * if (fellSilentAtStart(run, worker)) { return; }
--- a/packages/puffinarch/src/core/shard/workerLink.ts
+++ b/packages/puffinarch/src/core/shard/workerLink.ts
@@ -48,7 +48,7 @@
     readonly firstLooks: FirstLooks;
     readonly delayedStarts: DelayedStarts;
     readonly lookSlots: LookSlots;
-    /** Pause between looks while the worker does not answer; also the longest wait for the commit of ends before the next look. */
+    /** Longest pause between looks while the worker does not answer; also the longest wait for the commit of ends before the next look. */
     readonly lookPauseMs: number;
     /** Pause before an order is sent, or sent again, to a worker that did not answer. */
     readonly orderPauseMs: number;
