--- a/packages/puffinarch/src/core/shard/jobModel.ts
+++ b/packages/puffinarch/src/core/shard/jobModel.ts
@@ -161,8 +161,8 @@
     /** Time that it was blocked before the current wait, since its newest start. */
     blockedBeforeMs: number;
     /**
-     * How often steps that were blocked for long took capacity that was reserved for this one, and the earliest local time at which that may happen
-     * again.
+     * How often steps that were blocked for long took capacity that was reserved for this one, and the earliest local time at which that
+     * may happen again.
      */
     timesOverridden: number;
     nextOverrideAtMs: number;
--- a/packages/puffinarch/src/core/shard/trials.ts
+++ b/packages/puffinarch/src/core/shard/trials.ts
@@ -165,7 +165,8 @@
     [...runs.values()].every(({ task, absent }) => absent || !task.step.spec.longRunning);
 
 /**
- * Reserves a worker for a task on trial until no other job runs there: the candidate with the fewest runs of other jobs. Does nothing while a worker is reserved for the job already, or too many are reserved.
+ * Reserves a worker for a task on trial until no other job runs there: the candidate with the fewest runs of other jobs. Does
+ * nothing while a worker is reserved for the job already, or too many are reserved.
  *
  * @example
  * holdForTrial(task, candidates, { workers, nowMs });
--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -1,7 +1,7 @@
 /**
  * Carries out upkeep waves, which are planned maintenance of VMs: each VM of a wave is cordoned, evacuated and then ordered to begin
- * its upkeep, with a limited number of VMs down at once and before the deadline of the wave. Orders are idempotent on the platform, so an order without an
- * answer is sent again. Begun VMs are stored durably, so that a successor does not evacuate them again.
+ * its upkeep, with a limited number of VMs down at once and before the deadline of the wave. Orders are idempotent on the platform,
+ * so an order without an answer is sent again. Begun VMs are stored durably, so that a successor does not evacuate them again.
  */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
@@ -55,7 +55,7 @@
  * clients.
  */
 const listingIntervalMs = 300;
-/** Interval between listings while only the return of ordered VMs is awaited. Most new incarnations are detected earlier, by looks at the workers. */
+/** The same while only the return of ordered VMs is awaited; looks at their workers usually detect new incarnations earlier. */
 const returnListingIntervalMs = 1_500;
 /**
  * Time for which an ordered VM counts as down when the deadline is divided among the remaining VMs; it takes about 2 s. The value is
