--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -1,7 +1,7 @@
 /**
  * Carries out upkeep waves, which are planned maintenance of VMs: each VM of a wave is cordoned, evacuated and then ordered to begin
- * its upkeep, with a limited number of VMs down at once and before the deadline of the wave. Orders are idempotent on the platform, so an order without an
- * answer is sent again. Begun VMs are stored durably, so that a successor does not evacuate them again.
+ * its upkeep, with a limited number of VMs down at once and before the deadline of the wave. Orders are idempotent on the platform,
+ * so an order without an answer is sent again. Begun VMs are stored durably, so that a successor does not evacuate them again.
  */
 
 import type { Clock, Log, Meter } from "../../types/ports.js";
@@ -55,7 +55,7 @@
  * clients.
  */
 const listingIntervalMs = 300;
-/** Interval between listings while only the return of ordered VMs is awaited. Most new incarnations are detected earlier, by looks at the workers. */
+/** The same while only the return of ordered VMs is awaited; looks at their workers usually detect new incarnations earlier. */
 const returnListingIntervalMs = 1_500;
 /**
  * Time for which an ordered VM counts as down when the deadline is divided among the remaining VMs; it takes about 2 s. The value is
@@ -249,7 +249,7 @@
 
     /**
      * Stops the runs that can be moved off the VM; true once it may be ordered: nothing runs there, or the time for the evacuation is over
-     * and what is left may be interrupted.
+     * and the runs that are left may be interrupted.
      */
     const evacuate = (progress: VmProgress, evacuationMs: number): boolean => {
         // The worker may have restarted and lost its cordon.
@@ -361,8 +361,8 @@
     const applyWaves = async (waves: readonly UpkeepWave[]): Promise<void> => {
         storedRecords ??= options.rows.read();
         const records = await storedRecords;
-        const wanted = new Set(waves.map(wave => wave.number));
-        for (const number of [...open.keys()].filter(known => !wanted.has(known))) {
+        const requested = new Set(waves.map(wave => wave.number));
+        for (const number of [...open.keys()].filter(known => !requested.has(known))) {
             withdraw(number);
         }
         for (const wave of waves) {
