--- a/packages/puffinarch/src/core/shard/adviceDispatcher.ts
+++ b/packages/puffinarch/src/core/shard/adviceDispatcher.ts
@@ -26,8 +26,9 @@
 
 interface QueuedCall extends AdviceCall {
     readonly askedAtMs: number;
-    /** Number of lanes that it was given to so far, and of those that have neither answered nor failed yet. */
+    /** Number of lanes that the call was given to so far. */
     lanesAsked: number;
+    /** Number of those lanes that have neither answered nor failed yet. */
     lanesOpen: number;
     /** True once it was answered or given up; later results of other lanes are ignored. */
     settled: boolean;
@@ -61,18 +62,18 @@
 
 /** Calls that cost more than this are slow. It lies between the costs of quick calls (28 ms) and slow ones (530 ms). */
 const slowCostMs = 150;
-/** Largest share of the lanes that is closed to slow calls; of two lanes or more, at least one may be. */
+/** Largest share of the lanes that is closed to slow calls. Where there are two or three lanes, one may be closed nevertheless. */
 const quickLaneShare = 0.25;
 /**
- * Lanes closed to slow calls are derived from the number of lanes that quick calls kept busy on average, with this time constant.
- * `quickMargin` times as many are closed, since quick calls come in bursts.
+ * Time constant of the average number of lanes that quick calls keep busy. The lanes closed to slow calls are one more than
+ * `quickMargin` times this average, within `quickLaneShare`, since quick calls come in bursts.
  */
 const quickAverageMs = 4_000;
 const quickMargin = 2;
 /**
  * Back-off of a lane after a failed call, so that a daemon that is cut off is not used again at once. It doubles with each
  * failure in a row, up to `maxLaneBackOffMs`, while another lane has no failures. Where all lanes have failed, the advisor itself
- * may be unavailable, and the back-off does not grow.
+ * may be unavailable, and the back-off stays at `laneBackOffMs`.
  */
 const laneBackOffMs = 500;
 const maxLaneBackOffMs = 4_000;
@@ -92,7 +93,7 @@
 
 /** A call that has waited for longer than this may be served before more urgent ones; most wait for some milliseconds. */
 const longWaitMs = 2_000;
-/** One dispatch in this many may serve the longest waiting call, so that urgent calls lose at most a quarter of the lanes. */
+/** One dispatch in this many may serve the longest waiting call, so that urgent calls lose at most a quarter of the dispatches. */
 const longestWaitingEvery = 4;
 
 /** Number of lanes closed to slow calls, given the average number of lanes that quick calls keep busy. */
@@ -220,7 +221,10 @@
         }
     };
 
-    /** Queues a call for one more lane, before all others of its priority, since it has waited longer. */
+    /**
+     * Queues a call for one more lane, at the front of the queue, so that it precedes other calls of its priority. While one of its
+     * lanes is still open, `dequeue` serves it only where no first attempt can be served.
+     */
     const queueRepeat = (queuedCall: QueuedCall): void => {
         const isEnough = queuedCall.lanesAsked >= maxLanesAsked || queuedCall.lanesOpen >= maxLanesOpen;
         if (closed || queuedCall.settled || isEnough || queue.includes(queuedCall)) {
--- a/packages/puffinarch/src/core/shard/adviceRequester.ts
+++ b/packages/puffinarch/src/core/shard/adviceRequester.ts
@@ -47,7 +47,7 @@
 
 /** Pause before the next call for a step after a failed one. */
 const retryMs = 150;
-/** Pause after a search found no worker to name; a search examines all workers, and one in each pass costs more than the delay. */
+/** Pause after a search found no worker to name; examining all workers in every pass would cost more than this delay. */
 const emptyPauseMs = 40;
 /** A call after the first names this many more workers than there are waiting tasks, since some workers fill up meanwhile. */
 const spareNames = 4;
@@ -140,7 +140,11 @@
         return [...names];
     };
 
-    /** Workers to name: where no advice is known yet, any eligible ones, else approved ones with capacity whose tickets are missing. */
+    /**
+     * Workers to name. As long as the advisor was asked about none for the step, these are any eligible ones. Later they are
+     * approved ones with capacity whose tickets are missing, and workers not asked about yet where the approved ones are too few
+     * or have all failed a waiting task recently.
+     */
     const namesFor = (request: TicketRequest): readonly string[] => {
         const { step, waiting, view, nowMs } = request;
         const { advice, spec } = step;
--- a/packages/puffinarch/src/core/shard/avoidance.ts
+++ b/packages/puffinarch/src/core/shard/avoidance.ts
@@ -35,6 +35,7 @@
 export interface AvoidanceLimits {
     readonly workers: ReadonlyMap<string, ShardWorker>;
     readonly nowMs: number;
+    /** Rack that the tasks must stay on; undefined for any. */
     readonly rack?: string | undefined;
     /** Workers that are excluded for other reasons. */
     readonly except?: ReadonlySet<string> | undefined;
@@ -89,7 +90,10 @@
     return needed <= 0;
 };
 
-/** Workers that failed the task within a time, with the local time of failure, less those that have since completed a later run. */
+/**
+ * Workers that failed the task within the last `withinMs`, with the local time of the failure. A worker that completed a run
+ * whose start was sent after that failure is left out.
+ */
 const failedWithin = (
     { failedOn }: ShardTask,
     withinMs: number,
