--- a/packages/puffinarch/src/core/shard/capacityView.ts
+++ b/packages/puffinarch/src/core/shard/capacityView.ts
@@ -26,15 +26,18 @@
      */
     capacityFor(worker: ShardWorker, step: ShardStep, aheadMs?: number): Resources;
     /**
-     * Records that a task of the step was placed there. Where it overrode reservations, they may not be overridden again
+     * Records that a task of the step was placed on the worker. Where it overrode reservations, they may not be overridden again
      * for some time.
      */
     recordPlacement(worker: ShardWorker, step: ShardStep): void;
-    /** Whether the step is long-running and capacity there is reserved for others, which its task would take permanently. */
+    /** Whether the step is long-running and the worker has capacity reserved for other steps, which its task could take permanently. */
     occupiesReserved(worker: ShardWorker, step: ShardStep): boolean;
 }
 
-/** A task may use reserved capacity if this multiple of its estimate ends in time; estimates are off by up to half. */
+/**
+ * A task may use reserved capacity if this multiple of its estimated run time fits before the capacity is needed; estimates are
+ * off by up to half.
+ */
 const estimateMargin = 1.3;
 /** A preemptible run makes some progress within this time; a restore alone takes up to 0.6 s. */
 const minProgressMs = 1_500;
--- a/packages/puffinarch/src/core/shard/chooseWorker.ts
+++ b/packages/puffinarch/src/core/shard/chooseWorker.ts
@@ -51,7 +51,10 @@
  */
 const togetherBonus = 0.6;
 const nearCallerBonus = 0.5;
-/** Outweigh the spread over workers: a rack near the data halves the run time, and a worker with failures is likely to fail again. */
+/**
+ * Usually outweigh differences in the share of free processors, which is 0 to 1: a rack near the data halves the run time, and
+ * a worker with failures is likely to fail again.
+ */
 const dataRackBonus = 1;
 const failureStreakPenalty = 0.5;
 /** Larger than all other scores together: a resting worker is chosen only where no other can take the task. */
@@ -200,7 +203,7 @@
             const avoided = avoidedBy(task, { workers, nowMs, rack, except });
             let best: ShardWorker | undefined;
             let bestScore = -Infinity;
-            // A copy never uses a resting worker, since its task already runs.
+            // A copy, which is a further run of a task that already runs, never uses a resting worker.
             const mayUseResting = task.runs.length === 0 && mayUseRestingWorkers(task, nowMs);
             for (const candidate of usable) {
                 const { worker, open, hasTicket } = candidate;
--- a/packages/puffinarch/src/core/shard/correlatedCrashes.ts
+++ b/packages/puffinarch/src/core/shard/correlatedCrashes.ts
@@ -12,8 +12,8 @@
     /** Records that an incarnation fell silent, and the runs that had just been started on it. */
     record(incarnation: WorkerIncarnation, atMs: number, runs: readonly CrashedRun[]): void;
     /**
-     * Removes an incarnation that answers again, as it had not crashed. An answer of a later incarnation under the id leaves
-     * the record.
+     * Removes an incarnation that answers again, as it had not crashed. An answer of a later incarnation under the same
+     * worker id leaves the record in place.
      */
     answered(incarnation: WorkerIncarnation): void;
     /** Counts the workers that fell silent at the same moment and had not just started a task of the job. */
--- a/packages/puffinarch/src/core/shard/evacuate.ts
+++ b/packages/puffinarch/src/core/shard/evacuate.ts
@@ -30,7 +30,7 @@
 
 /**
  * Returns the runs of a worker to stop now: those that save checkpoints, and long-running ones as far as their step's budget of absent
- * tasks allows. The others end by themselves.
+ * tasks allows. Gang members, and runs that neither save checkpoints nor are long-running, are left running.
  *
  * @example
  * for (const run of runsToMove(worker, clock.monotonicMs())) { stop(run); }
@@ -49,7 +49,8 @@
             }
             continue;
         }
-        // At most one task per step at a time; the next one follows once this one runs elsewhere.
+        // At most one task per step in each call, since the budget does not count tasks chosen in this call as absent. Later calls choose
+        // further ones as far as the budget allows.
         if (!stepsChosen.has(run.task.step) && isWithinAbsenceBudget(run.task.step, run.task, nowMs)) {
             stepsChosen.add(run.task.step);
             chosen.push(run);
--- a/packages/puffinarch/src/core/shard/incarnations.ts
+++ b/packages/puffinarch/src/core/shard/incarnations.ts
@@ -1,6 +1,6 @@
 /**
  * Identifies the incarnations of a worker. A worker that restarts under its id has lost its whole state: fencing token, runs,
- * and which runs were stopped or ended; its end numbers and its clock begin anew. An owner therefore keeps what it knows of a
+ * and which runs were stopped or ended; its end numbers and its clock begin anew. An owner therefore keeps its records of a
  * worker by incarnation.
  */
 
