--- a/packages/puffinarch/src/core/shard/batchWriter.ts
+++ b/packages/puffinarch/src/core/shard/batchWriter.ts
@@ -57,8 +57,8 @@
 /** Interval between probes. A copy that was sent during an outage is never answered, and the next one may be 1.5 s away. */
 const probeIntervalMs = 200;
 /**
- * Shortest remaining wait in which a probe is sent. No answer arrives in less, and a pause of a fraction of a millisecond may end at the
- * same clock reading at which it began.
+ * Shortest remaining wait in which a probe is sent. No answer arrives in less. A pause of a fraction of a millisecond may also end at the
+ * clock reading at which it began, and the next probe would then be sent at once.
  */
 const minProbeWaitMs = 1;
 /** After a probe was answered, none is sent for this long, since the store may answer reads but not commits. */
--- a/packages/puffinarch/src/core/shard/callerKeys.ts
+++ b/packages/puffinarch/src/core/shard/callerKeys.ts
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Compares digests in constant time, so that the duration does not reveal how much of a digest matched. */
+    /** Compares the digests of a bucket in constant time, so that the duration reveals no more than whether the bucket's digits matched. */
     const find = (key: string): string | undefined => {
         const hex = digestKey(key);
         const digest = Buffer.from(hex, "hex");
--- a/packages/puffinarch/src/core/shard/cellMember.ts
+++ b/packages/puffinarch/src/core/shard/cellMember.ts
@@ -383,7 +383,10 @@
         }
     };
 
-    /** Reads the owner row, for at most `withinMs`: the owner is not pinged while the watch waits for the store. */
+    /**
+     * Reads the owner row; returns whether the store answered within `withinMs`. The time is limited because the owner watch sends
+     * no pings while it waits for the store.
+     */
     const readOwner = (withinMs: number): Promise<boolean> => {
         const read = async (): Promise<boolean> => {
             try {
--- a/packages/puffinarch/src/core/shard/claimShard.ts
+++ b/packages/puffinarch/src/core/shard/claimShard.ts
@@ -43,7 +43,7 @@
 }
 
 const claimRetryPauseMs = 60;
-/** Allows for a store 60 times slower than its usual 7 ms. */
+/** Timeout of one write of the owner row; allows for a store 60 times slower than its usual 7 ms. */
 const claimTimeoutMs = 600;
 
 /** Reads the owner row to find out whether a claim without an answer took effect; returns the row's version where it did. */
