--- a/packages/puffinarch/src/core/shard/ownerProgress.ts
+++ b/packages/puffinarch/src/core/shard/ownerProgress.ts
@@ -28,7 +28,10 @@
     review(waitingSteps: number): void;
 }
 
-/** Time without a start before the first warning, the longest that a task may wait beside free capacity; doubles for each further one. */
+/**
+ * Time without a start before the first warning; a task may wait at most this long although capacity is free. Each further warning
+ * comes after twice the time.
+ */
 const firstWarningAfterMs = 3_000;
 
 /**
--- a/packages/puffinarch/src/core/shard/ownerWatch.ts
+++ b/packages/puffinarch/src/core/shard/ownerWatch.ts
@@ -80,8 +80,8 @@
 }
 
 /**
- * An owner pings the daemons through which it calls the advisor, its lanes, every second round. Any other daemon pings each of
- * its neighbours once in ten rounds.
+ * An owner pings its lanes, the daemons through which it calls the advisor, in every second round. Any other daemon pings each
+ * of its neighbours once in ten rounds.
  */
 const lanePingRounds = 2;
 const neighbourPingRounds = 10;
@@ -106,8 +106,9 @@
 /** Each candidate waits this much longer to claim than the previous one in the claim order. */
 const rankDelayMs = 120;
 /**
- * Store response times by which each rank delays its claim on a daemon that has not seen a serving owner yet: the claim of the
- * previous candidate, which may queue behind the writes of starting daemons, the change feed, and this daemon's own read.
+ * On a daemon that has not seen a serving owner yet, each rank delays its claim by this many response times of the store, and by
+ * `maxRankDelayMs` at most. They cover the claim of the previous candidate (which may queue behind the writes of starting
+ * daemons), the change feed, and this daemon's own read.
  */
 const storeAnswersPerRank = 4;
 const maxRankDelayMs = 1_000;
@@ -124,7 +125,7 @@
 const minorityOwnerPings = 2;
 /**
  * An owner whose commits have been unanswered for this long is replaced by a peer that the store answers quickly. By then the
- * owner has sent copies at 0, 80 and 240 ms, and each answer may be lost with a probability of one in three.
+ * owner has sent copies of a commit at 0, 80 and 240 ms, and each answer may be lost with a probability of one in three.
  */
 const stalledOwnerMs = 400;
 /**
@@ -141,9 +142,9 @@
 const claimReadTimeoutMs = 800;
 
 /**
- * Returns whether the daemon that answered owns the shard by the owner row. The claim id counts as well as the token, because a
- * claimant is the last to receive the answer that its claim took effect: with the token alone and a store that takes a quarter
- * of a second to answer, each new owner is replaced before it knows its token.
+ * Returns whether the daemon that answered owns the shard by the owner row. The claim id counts as well as the token, because
+ * other daemons may read the new owner row before the claimant receives the store's answer to its claim. With the token alone
+ * and a store that takes a quarter of a second to answer, each new owner is replaced before it knows its token.
  */
 const holdsShard = (answer: PingAnswer, { row, version }: KnownOwner): boolean =>
     answer.ownedToken === version || answer.claimId === row.claimId;
--- a/packages/puffinarch/src/core/shard/peers.ts
+++ b/packages/puffinarch/src/core/shard/peers.ts
@@ -51,8 +51,8 @@
     /** Returns the daemons to ask whether the owner answers them: its watchers and a few others. */
     observers(owner: KnownOwner | undefined): readonly MemberRow[];
     /**
-     * Returns the daemons through which the owner of this version calls the advisor, which it therefore pings: those that answer
-     * come first, strong ones before weak ones.
+     * Returns the lanes of the owner of this version: the daemons through which it calls the advisor and which it therefore pings.
+     * Those that answer come first, strong ones before weak ones.
      */
     lanes(version: number): readonly MemberRow[];
     /** Returns the daemons that a daemon pings to receive newer owner rows and configurations. */
--- a/packages/puffinarch/src/core/shard/probes.ts
+++ b/packages/puffinarch/src/core/shard/probes.ts
@@ -15,16 +15,16 @@
 /** Peers that each daemon pings for newer owner rows and configurations; a change reaches 300 daemons in three hops. */
 export const neighbourCount = 8;
 /**
- * Daemons that an owner pings as its lanes to the advisor, which serves one call of a VM at a time. A cell with 440 starts a
- * second has 9 calls in flight on average.
+ * Number of lanes, the daemons through which an owner calls the advisor and which it therefore pings. The advisor serves one
+ * call per VM at a time, and a cell with 440 starts a second has 9 calls in flight on average.
  */
 export const laneCount = 32;
 /** Daemons asked whether the owner answers them: the watchers and a few more, by which a daemon detects that it is in a minority. */
 export const observerCount = 12;
 
-/** Interval in which the owner receives one ping from all daemons together that are not watchers, the followers. */
+/** Interval between the pings that the owner receives from all followers together, the daemons that are not watchers. */
 const followerSpacingMs = 20;
-/** Ranks in the claim order that are each delayed by the full time per rank. */
+/** Number of first ranks in the claim order that each add the full delay per rank. */
 const earlyRanks = 8;
 /** Additional delay of each later rank, for when all early ones have failed; a conflicting claim only costs a write. */
 const laterRankDelayMs = 10;
--- a/packages/puffinarch/src/core/shard/shardSettings.ts
+++ b/packages/puffinarch/src/core/shard/shardSettings.ts
@@ -40,8 +40,9 @@
     /** Pause before an unanswered order to a worker is sent again. */
     readonly orderPauseMs: number;
     /**
-     * How long an unanswered start may still be carried out, and its task waits. Accepted work may wait at most 3 s beside free
-     * capacity once there has been no fault for 4 s; a start goes unanswered only during a fault.
+     * How long an unanswered start may still be carried out; its task waits that long. A start goes unanswered only during a
+     * fault, and accepted work may wait at most 3 s although capacity is free once there has been no fault for 4 s. The time must
+     * therefore stay below 7 s.
      */
     readonly unansweredStartMs: number;
     /** Whether workers refuse tickets of the advisor that were issued for another incarnation of the worker. */
--- a/packages/puffinarch/src/core/shard/shortTenures.ts
+++ b/packages/puffinarch/src/core/shard/shortTenures.ts
@@ -1,5 +1,5 @@
 /**
- * Counts short tenures: owners of a shard in a row that were each replaced soon after their claim because they seemed lost or
+ * Counts short tenures: consecutive owners of a shard that were each replaced soon after their claim because they seemed lost or
  * slow. The work of a takeover can itself make an owner seem so, and each successor has to repeat that work. Every short tenure
  * therefore doubles the timeouts for the next owner.
  */
