--- a/packages/puffinarch/src/core/shard/shardWorkers.ts
+++ b/packages/puffinarch/src/core/shard/shardWorkers.ts
@@ -110,7 +110,7 @@
     const startedAtMs = clock.monotonicMs();
     const workers = new Map<string, ShardWorker>();
     const links = new Map<string, WorkerLink>();
-    /** When the newest ended incarnation of each worker began. Its entry may still be listed. */
+    /** Start time, if known, of each worker's newest ended incarnation, by worker id. Its list entry may still be there. */
     const endedIncarnations = new Map<string, number | undefined>();
     /** The platform's newest list. */
     let listing: ReadonlyMap<string, WorkerEntry> = new Map();
@@ -160,7 +160,7 @@
         onStartLost: stopRestOfGang,
         onAbsent: (worker, run) => {
             probe(worker, { taskName: run.task.name, run: run.run });
-            // The order may be carried out until then, so only a look after that time shows whether it was.
+            // The order may be carried out until `mayArriveUntilMs`, so only a look after that time shows whether it was.
             const leftMs = (run.mayArriveUntilMs ?? 0) - clock.monotonicMs();
             clock.setTimer(leftMs + 1, () => links.get(worker.workerId)?.look());
         },
@@ -205,7 +205,7 @@
     };
 
     /**
-     * Ends an incarnation and records it, since its entry may stay listed until it expires or that of the next incarnation
+     * Ends an incarnation and records it, since its entry may stay listed until the entry expires or the next incarnation
      * replaces it.
      */
     const endAndRecordIncarnation = (worker: ShardWorker, reason: string): void => {
@@ -451,12 +451,12 @@
         unreadable: ReadonlySet<string> = new Set(),
         formerAgeMs = 0,
     ): void => {
-        // After an outage the former list may be old, and a worker whose entry has expired since may have been listed with less
-        // capacity before it did.
+        // After an outage the former list may be old, and a worker that is missing now may meanwhile have been listed with less
+        // capacity. The age of the former list beyond `maxListingAgeMs` therefore counts as time for which the worker was unlisted.
         const missingSinceMs = clock.monotonicMs() - Math.max(0, formerAgeMs - maxListingAgeMs);
         listing = new Map(entries.map(entry => [entry.workerId, entry]));
-        // Entries of ended incarnations are left out: one may still be listed together with the new worker at its address, which
-        // it does not replace.
+        // Entries of ended incarnations are left out: such an entry may be listed while the new worker at the same address is not,
+        // and must not end the new worker.
         const byAddress = new Map(
             entries.filter(entry => !hasEndedIncarnation(entry)).map(entry => [entry.address, entry.workerId]),
         );
--- a/packages/puffinarch/src/core/shard/upkeep.ts
+++ b/packages/puffinarch/src/core/shard/upkeep.ts
@@ -55,7 +55,10 @@
  * clients.
  */
 const listingIntervalMs = 300;
-/** The same while only the return of ordered VMs is awaited; looks at their workers usually detect new incarnations earlier. */
+/**
+ * Interval between listings while only the return of ordered VMs is awaited. Looks at their workers usually detect new incarnations
+ * earlier.
+ */
 const returnListingIntervalMs = 1_500;
 /**
  * Time for which an ordered VM counts as down when the deadline is divided among the remaining VMs; it takes about 2 s. The value is
--- a/packages/puffinarch/src/core/shard/workerLink.ts
+++ b/packages/puffinarch/src/core/shard/workerLink.ts
@@ -104,8 +104,8 @@
     const newestToken = (): number => Math.max(options.fencingToken, options.newestToken?.() ?? 0);
     /**
      * Fencing token of the looks and orders that are sent next. It is raised where another incarnation may answer from now
-     * on: once a look with it has reached that incarnation, all orders sent before are rejected there. Stops of these runs
-     * would not do, since they may be delayed as long as the starts.
+     * on: once a look with the raised token has reached that incarnation, it rejects all orders sent before. Orders to stop the
+     * runs would not suffice, since they may be delayed as long as the start orders.
      */
     let token = newestToken();
     let closed = false;
@@ -165,9 +165,9 @@
     };
 
     /**
-     * Whether a look counts as late through this daemon's own delay in reading answers; such a delay also doubles the answer
-     * timeout of later looks. Healthy workers must not count as silent for it: no leases would be renewed and nothing placed there,
-     * and all that runs there would end.
+     * Whether a look is late because this daemon itself reads answers late; such a delay also doubles the answer timeout of later
+     * looks. A healthy worker must not count as silent for it: its leases would not be renewed, so that all its runs would end,
+     * and it would get no new work.
      */
     const isOwnDelay = (sentAtMs: number, waitMs: number): boolean => {
         const overdueMs = clock.monotonicMs() - sentAtMs - waitMs - answerTimeoutMs;
@@ -235,7 +235,7 @@
             return;
         }
         if (look.outcome === "done") {
-            // The answer belongs to the other incarnation, and neither its clock nor its runs apply to this one.
+            // Where another incarnation has answered, neither its clock nor its runs apply to this one.
             if (isOtherIncarnation(worker.bornAtMs, look.bornAtMs)) {
                 options.onRestarted(worker, look.bornAtMs);
                 return;
@@ -254,7 +254,8 @@
             return;
         }
         if (endsLink(look.outcome, sentToken) || isOvertaken(look.outcome, sentToken)) {
-            // A call with a higher token came first, which shows that the worker answers; the next look carries the higher token.
+            // Either the link has ended, or a call with a higher token reached the worker first. The latter shows that the worker
+            // answers; the next look carries the higher token.
             return;
         }
         // The next answer may come from another incarnation.
--- a/packages/puffinarch/src/core/shard/workerTable.ts
+++ b/packages/puffinarch/src/core/shard/workerTable.ts
@@ -83,7 +83,10 @@
     unansweredOrder: DelayedStart | undefined;
     /** It gets no work at all, since its VM is about to be shut down. */
     cordoned: boolean;
-    /** Newest run here of a task on trial, under which workers have crashed; no other job starts a run beside it until it is at work. */
+    /**
+     * Newest run here of a task on trial, under which workers have crashed. No other job starts a run beside it until it has run long
+     * enough to show that it did not crash the worker on its start.
+     */
     trial: ShardRun | undefined;
     /** A job that waits for this worker to become empty for a trial; only its tasks are started here until then. */
     trialHold: { readonly job: ShardJob; readonly untilMs: number; } | undefined;
@@ -255,7 +258,7 @@
 export const adoptRun = addRun;
 
 /**
- * Returns the capacity of a run that its task keeps, since the run may move to the worker's next incarnation.
+ * Frees the capacity of a run that stays with its task, since the run may move to the worker's next incarnation.
  *
  * @example
  * releaseRun(worker, run);
@@ -268,7 +271,7 @@
 };
 
 /**
- * Returns the capacity of a run that is gone, and removes the run from its task.
+ * Frees the capacity of a run that is gone, and removes the run from its task.
  *
  * @example
  * dropRun(worker, run);
