--- a/packages/puffinarch/src/core/shard/jobModel.ts
+++ b/packages/puffinarch/src/core/shard/jobModel.ts
@@ -39,8 +39,8 @@
     readonly run: number;
     readonly workerId: string;
     /**
-     * When the worker incarnation began that it was planned for or, if that one refuses it, a later one that it was carried over to;
-     * undefined if unknown.
+     * Start time of the worker incarnation that it was planned for. If that incarnation refuses it and a later one takes it over, the
+     * start time of the later one; undefined if unknown.
      */
     bornAtMs: number | undefined;
     /** Address of its worker at planning; empty if unknown. */
@@ -79,7 +79,7 @@
 export interface UnresolvedLoss {
     readonly run: number;
     readonly workerId: string;
-    /** When the worker incarnation that had it began; undefined if unknown. */
+    /** Start time of the worker incarnation that had it; undefined if unknown. */
     readonly bornAtMs: number | undefined;
     /** Address of its worker. */
     readonly address: string;
@@ -158,7 +158,7 @@
      * it is not blocked.
      */
     blockedAtMs: number | undefined;
-    /** Time that it was blocked before the current wait, since its newest start. */
+    /** Total time for which it has been blocked since its newest start, without the current wait. */
     blockedBeforeMs: number;
     /**
      * How often steps that were blocked for long took capacity that was reserved for this one, and the earliest local time at which that
@@ -202,6 +202,7 @@
     readonly doneOccurrences: Set<number>;
     state: JobState;
     started: boolean;
+    /** Local time of its end; undefined before, and for a job that ended under a former owner. */
     endedAtMs: number | undefined;
     /** Why it failed; undefined if it did not. */
     failure: JobFailure | undefined;
@@ -517,7 +518,7 @@
  * Applies the end of a run to its task, step and job: its checkpoint, and completion or one more failure.
  *
  * @example
- * applyRunEnd(task, 1, "done", "", clock.nowMs());
+ * applyRunEnd(task, 1, "done", "", clock.monotonicMs());
  */
 export const applyRunEnd = (task: ShardTask, run: number, how: RunEnd, checkpoint: string, nowMs: number): void => {
     if (task.done) {
--- a/packages/puffinarch/src/core/shard/jobRowSchemas.ts
+++ b/packages/puffinarch/src/core/shard/jobRowSchemas.ts
@@ -105,7 +105,7 @@
     untilMs: z.number("a time"),
     /** The worker incarnation that answered the last look does not run it and would refuse its order. */
     absent: flag,
-    /** A worker incarnation that never answered a look may have crashed because of it. */
+    /** A worker incarnation that never answered a look may have crashed because of the run. */
     mayHaveCrashed: flag,
 });
 
@@ -144,8 +144,8 @@
     /** Addresses of the workers of its live runs, by worker ID. */
     addresses: z.record(z.string(), text, "addresses of workers").default({}),
     /**
-     * When the worker incarnations began that its live runs were planned for, by worker ID; empty if each incarnation has an ID of its
-     * own.
+     * Start times of the worker incarnations that its live runs were planned for, by worker ID; empty if each incarnation has an ID of
+     * its own.
      */
     lives: z.record(z.string(), wholeNumber, "start times of incarnations").default({}),
     /**
--- a/packages/puffinarch/src/core/shard/jobRows.ts
+++ b/packages/puffinarch/src/core/shard/jobRows.ts
@@ -52,7 +52,7 @@
     readonly taskName: string;
     readonly run: number;
     readonly workerId: string;
-    /** When the worker incarnation began that it was planned for; undefined if the row does not state it. */
+    /** Start time of the worker incarnation that it was planned for; undefined if the row does not state it. */
     readonly bornAtMs: number | undefined;
     /** Address of the worker; empty if the row does not state it. */
     readonly address: string;
@@ -150,8 +150,8 @@
     Object.fromEntries([...runsOf(job)].map(({ workerId, address }) => [workerId, address]));
 
 /**
- * When the worker incarnations of live runs began, by worker ID. They let a successor detect that an incarnation is over and crashed
- * under its runs.
+ * Start times of the worker incarnations of live runs, by worker ID. With them a successor can detect that an incarnation is over and
+ * crashed under its runs.
  */
 const encodeIncarnations = (job: ShardJob): Readonly<Record<string, number>> => {
     const incarnations: Record<string, number> = {};
@@ -287,7 +287,7 @@
 const restoreLosses = (job: ShardJob, stored: readonly StoredLoss[]): readonly RestoredLoss[] =>
     stored.flatMap(({ place, run, workerId, bornAtMs, address, alone, confirmed }) => {
         const task = taskAt(job, place);
-        // Which other workers stopped answering at that moment is no longer known, so that no crash matches it.
+        // It is no longer known which other workers stopped answering at that moment, so a time is set that matches no other crash.
         const goneAtMs = -Infinity;
         return task === undefined
             ? []
--- a/packages/puffinarch/src/core/shard/planReservations.ts
+++ b/packages/puffinarch/src/core/shard/planReservations.ts
@@ -1,7 +1,7 @@
 /**
- * Plans where and when the waiting tasks of a step get capacity: for each task the worker that first has enough, from runs
- * that end or can be stopped there. Without reservations large tasks would starve, since small ones take each piece of
- * capacity as soon as it is free.
+ * Plans where and when the waiting tasks of a step get capacity: each task gets the worker that first has enough, as runs there
+ * end or are stopped. Without reservations large tasks would starve, since small ones take each piece of capacity as soon as it
+ * is free.
  */
 
 import { add, fits, noResources, type Resources, subtract } from "../../types/resources.js";
@@ -40,7 +40,10 @@
     readonly victims: readonly ShardRun[];
 }
 
-/** Least remaining time assumed for a run, as a share of its estimate and in total: one past its estimate may end at any moment. */
+/**
+ * Least remaining time assumed for a run, as a share of its estimate and in milliseconds; the larger one applies. A run past its
+ * estimate may end at any moment.
+ */
 const minRemainingShare = 0.15;
 const minRemainingMs = 100;
 /** A stop and a restore cost the stopped task about 1 s, so runs are stopped only where that saves more than this share of the slack. */
@@ -117,7 +120,10 @@
         held.accelerators / Math.max(1, capacity.accelerators),
     );
 
-/** A gang starts once there is capacity for its last member; no run is stopped for it before that is one stop away. */
+/**
+ * Sets the start of all members of a gang to the time at which the last one has capacity. Runs are stopped for the gang only once
+ * that time is at most `stopMs` away. Empty where not all members have been planned.
+ */
 const alignGang = (
     planned: readonly Reservation[],
     { waiting, nowMs, stopMs }: PlanOptions,
--- a/packages/puffinarch/src/core/shard/preempt.ts
+++ b/packages/puffinarch/src/core/shard/preempt.ts
@@ -39,9 +39,9 @@
     runs.reduce((sum, run) => add(sum, run.held), room);
 
 /**
- * Chooses the runs of a worker to be stopped for a task that needs `need`, where the capacity `room` is free: the smallest single
- * run that suffices, else several by urgency and size, none of them superfluous; undefined where stopping every preemptible run
- * would not suffice.
+ * Chooses the runs of a worker to be stopped for a task that needs `need`, where the capacity `room` is free. Returns the smallest
+ * single run that suffices, or else several by urgency and size, none of them superfluous. Returns undefined where stopping every
+ * preemptible run would not suffice.
  *
  * @example
  * const victims = chooseVictims(worker, { need, room, priority: 0 });
--- a/packages/puffinarch/src/core/shard/taskReview.ts
+++ b/packages/puffinarch/src/core/shard/taskReview.ts
@@ -41,7 +41,7 @@
 export interface TaskReview {
     /** Reviews every accepted task and hands steps that the task placer has lost back to it; returns their number. */
     run(): number;
-    /** The same, and logs how many tasks wait; for a new owner that has just learnt what its workers run. */
+    /** Does what `run` does, and logs how many tasks wait; called once all answering workers have reported their runs. */
     runAndReport(): void;
 }
 
@@ -53,7 +53,7 @@
 
 /** Most steps of which the wait is explained in one review, longest first: each explanation checks every worker. */
 const maxExplainedSteps = 12;
-/** Most log lines on lost steps in one review. */
+/** Most log lines in one review on steps that the task placer has lost. */
 const maxForgottenLines = 10;
 /** Most tasks that one log line names with their reason. */
 const maxNamedTasks = 3;
--- a/packages/puffinarch/src/core/shard/taskWait.ts
+++ b/packages/puffinarch/src/core/shard/taskWait.ts
@@ -46,7 +46,10 @@
     room: "room",
     /** The end of runs of its organisation, which uses all that its cap allows. */
     cap: "cap",
-    /** A trial after crashes of workers: another task of its step has to run first, or it needs a worker for itself. */
+    /**
+     * A trial after crashes of workers: another task of its step has to run first, or it needs a worker for itself. Also used while it
+     * is not known whether its lost runs crashed their workers, if one more crash might fail its job.
+     */
     trial: "trial",
     /** Capacity on another worker than those on which it failed recently. */
     untried: "untried",
@@ -60,7 +63,7 @@
 export const waitBoundsMs: Readonly<Record<TaskWait, number>> = {
     /** The store answers within 10 ms; an outage is logged by the commit log. */
     commit: 2_000,
-    /** A start without an answer is given up after 2 s, and a run that it may have begun is gone once its lease of 5 s has expired. */
+    /** An unanswered start may be carried out for 6.5 s (`unansweredStartMs`). Its run holds a lease that ends 5 s after it was sent. */
     startAnswer: 9_000,
     /** A stop takes up to 0.9 s. */
     stopEnd: 3_000,
@@ -236,8 +239,8 @@
 const maxAwaitedNames = 3;
 
 /**
- * Describes which workers a task avoids since they failed it, for how much longer, and which others it waits for; empty where
- * it avoids none.
+ * Describes which workers a task avoids because it failed there, for how much longer, and which others it waits for. Empty
+ * where it avoids none.
  *
  * @example
  * describeAvoided(task, { workers, nowMs }); // "avoids i-7f3a91c2 for 812 ms; awaits i-20bd11e9 full"
@@ -270,7 +273,7 @@
 };
 
 /**
- * Gives what a task for which `awaitsStart` holds waits for.
+ * Returns the event that a task waits for; `awaitsStart` must hold for the task.
  *
  * @example
  * if (awaitsStart(task)) { taskWaitOf(task, countAvailabilities(task.step, { workers, nowMs }), { workers, nowMs }); } // "room"
--- a/packages/puffinarch/src/core/shard/urgency.ts
+++ b/packages/puffinarch/src/core/shard/urgency.ts
@@ -19,7 +19,7 @@
 /** One of `standings`. */
 export type Standing = (typeof standings)[keyof typeof standings];
 
-/** A step with what decides on its place in the scheduling order. */
+/** A step with the values that decide its place in the scheduling order. */
 export interface RankedStep {
     readonly step: ShardStep;
     readonly standing: Standing;
