--- a/packages/puffinarch/src/core/shard/shardSettings.ts
+++ b/packages/puffinarch/src/core/shard/shardSettings.ts
@@ -53,7 +53,10 @@
     readonly stopMs: number;
     /** A worker or store that has not answered for this long counts as silent; must exceed `lookWaitMs`, the wait of a look. */
     readonly silentMs: number;
-    /** An owner that neither the store nor most workers have answered for this long gives the shard up; below `formerOwnerMs`. */
+    /**
+     * An owner gives the shard up once the store has not answered for this long and most workers count as silent. Below
+     * `formerOwnerMs`, the time for which a successor assumes that leases are still renewed.
+     */
     readonly cutOffMs: number;
     /** Submissions are refused at once while commits have been unanswered for longer than this. */
     readonly refuseStalledMs: number;
