--- a/packages/puffinarch/src/core/shard/shardSettings.ts
+++ b/packages/puffinarch/src/core/shard/shardSettings.ts
@@ -40,8 +40,9 @@
     /** Pause before an unanswered order to a worker is sent again. */
     readonly orderPauseMs: number;
     /**
-     * How long an unanswered start may still be carried out, and its task waits. Accepted work may wait at most 3 s beside free
-     * capacity once there has been no fault for 4 s; a start goes unanswered only during a fault.
+     * How long an unanswered start may still be carried out; its task waits that long. A start goes unanswered only during a
+     * fault, and accepted work may wait at most 3 s although capacity is free once there has been no fault for 4 s. The time must
+     * therefore stay below 7 s.
      */
     readonly unansweredStartMs: number;
     /** Whether workers refuse tickets of the advisor that were issued for another incarnation of the worker. */
@@ -52,7 +53,10 @@
     readonly stopMs: number;
     /** A worker or store that has not answered for this long counts as silent; must exceed `lookWaitMs`, the wait of a look. */
     readonly silentMs: number;
-    /** An owner that neither the store nor most workers have answered for this long gives the shard up; below `formerOwnerMs`. */
+    /**
+     * An owner gives the shard up once the store has not answered for this long and most workers count as silent. Below
+     * `formerOwnerMs`, the time for which a successor assumes that leases are still renewed.
+     */
     readonly cutOffMs: number;
     /** Submissions are refused at once while commits have been unanswered for longer than this. */
     readonly refuseStalledMs: number;
