--- a/features/steps/failureSteps.ts
+++ b/features/steps/failureSteps.ts
@@ -162,8 +162,8 @@
     "the data centres are cut off from each other": cell =>
         cutDataCentre(cell, "leon-feria", () => machinesInOtherDataCentres(cell, "leon-feria")),
     "a data centre is cut off from the platform": cell => cutDataCentre(cell, "leon-feria", () => [platformEndpoint]),
-    "the homeVmId daemon is cut off from the platform": cell => cell.cut(homeVmId, platformEndpoint),
-    "the homeVmId daemon is cut off from its peers": cell =>
+    "the home daemon is cut off from the platform": cell => cell.cut(homeVmId, platformEndpoint),
+    "the home daemon is cut off from its peers": cell =>
         otherVmIds(cell, homeVmId).forEach(vmId => cell.cut(homeVmId, vmId)),
     "a worker is lost": cell => cell.killWorker("leon-feria-w0"),
     "a worker is unreachable": cell => cell.worker("leon-feria-w0").setFaults({ unreachable: true }),
